--- a/source/common/forwarding/adaptive_throttle.h
+++ b/source/common/forwarding/adaptive_throttle.h
@@ -1,14 +1,16 @@
-// Turns requests of a route away while its back ends cannot keep up. Work that
-// is sent on all the same fills their queues, comes late and takes the slots of
-// what could still be answered in time. Pure: time is an argument.
+// AdaptiveThrottle refuses requests of a route while its backends are
+// overloaded. Requests that are sent nevertheless fill the queues of the
+// backends, end late and take slots from requests that could still be answered
+// in time. The router owns one for each route. Callers pass the current time.
 //
-// The share that is admitted grows steadily and falls with each request that
-// back ends turned away (additive increase, multiplicative decrease). How far
-// it falls follows from how many requests ended of late: at 200 requests a
-// second each one counts little. A router with two a second learns less and
-// admits more, 0.85 of what is offered where there is room for 0.4 (unit test).
+// The admitted share of requests grows steadily and falls with each request
+// that backends shed (additive increase, multiplicative decrease). The decrease
+// is divided by the number of requests that ended recently: at 200 requests per
+// second each one has little effect. A router with two requests per second has
+// less information and admits more: 0.85 of what is offered where the capacity
+// is 0.4.
 //
-// Use: Admit for each request; then OnEnded for each that was admitted.
+// Call Admit for each request, then OnEnded for each admitted one.
 #pragma once
 
 #include <cstdint>
@@ -18,36 +20,38 @@
 
 namespace juniperway::forwarding {
 
+// Admits a share of the requests of one route.
 class AdaptiveThrottle {
  public:
-  // Growth of the admitted share in a second: from nothing to all in two. At
-  // 0.25 (and a fall of 4) routers with 200 requests a second used half of the
-  // room that there was (unit.forwarding/adaptive_throttle).
+  // Growth of the admitted share per second: from 0 to 1 in two seconds. At
+  // 0.25 (and a decrease factor of 4) routers with 200 requests per second used
+  // half of the capacity.
   static constexpr double kGrowth = 0.5;
-  // One request that was turned away lowers the share by this, divided by the
-  // number of requests that ended of late, and by half at most. While all are
-  // admitted the share then falls once more than kGrowth / kFall of them are
-  // turned away.
+  // Each shed request lowers the admitted share by this factor, divided by the
+  // number of requests that ended recently, and by half at most. While all
+  // requests are admitted, the share falls as soon as more than
+  // kGrowthPerSecond / kDecreaseFactor of them are shed.
   static constexpr double kFall = 3;
   static constexpr double kLargestFall = 0.5;
-  // Something is always tried, to find out that there is room again.
+  // Some requests are always admitted, to detect that the backends have
+  // capacity again.
   static constexpr double kSmallestShare = 0.05;
-  // What was seen fades to 1 / e in this time.
+  // Time constant of the exponential decay of the counts.
   static constexpr Duration kMemory = seconds(1);
-  // One request that was turned away says nothing, it may have met a back end
-  // that was full for a moment: the share falls when there were more within
-  // kMemory. Counted with what has faded; two that are 1.4 s apart are too few.
+  // Minimum decayed number of shed requests before the share falls. A single
+  // shed request may have met a backend that was full for a moment. Two that
+  // are 1.4 s apart stay below the minimum.
   static constexpr double kFewestTurnedAway = 1.25;
 
   explicit AdaptiveThrottle(std::uint64_t seed) : random_(seed) {}
 
-  // @return false when the request is to be refused.
+  // @return false when the caller should refuse the request.
   bool Admit(MonotonicTime now);
-  // @param turned_away the request failed or was late, and back ends had shed
-  //   attempts of it.
+  // @param shed the request failed or was late, and backends had shed attempts
+  //   of it.
   void OnEnded(bool turned_away, MonotonicTime now);
 
-  // Share of requests that is admitted at present.
+  // Share of requests that is admitted at present, 0 to 1.
   double admitted_share() const { return share_; }
 
  private:
@@ -55,8 +59,8 @@
 
   std::mt19937_64 random_;
   MonotonicTime advanced_to_{};
-  // Admitted requests that ended of late, and those of them that were turned
-  // away.
+  // Decayed numbers of admitted requests that ended, and of those that backends
+  // shed.
   double ended_ = 0;
   double turned_away_ = 0;
   double share_ = 1;
--- a/source/common/forwarding/backend_pool.cc
+++ b/source/common/forwarding/backend_pool.cc
@@ -6,59 +6,58 @@
 namespace juniperway::forwarding {
 namespace {
 
-// How much longer a back end of the same zone may take before one elsewhere is
-// preferred: more than the way there and back takes (2 to 3 ms and 24 ms on the
-// simulated sites), because traffic between zones and regions costs money.
+// How much longer a backend of the same zone may take before the pool prefers
+// one elsewhere. More than the round trips take (2 to 3 ms within a region, 24
+// ms to another one), because traffic between zones and regions costs money.
 constexpr Duration kSameRegionDistance = milliseconds(10);
 constexpr Duration kOtherRegionDistance = milliseconds(60);
-// Share of a back end's connections that the routers use together; the rest
-// is for connections that are closing and routers that are not known yet.
+// Share of the connections of a backend that the routers use together. The rest
+// covers connections that are closing and routers that are not known yet.
 constexpr double kConnectionShare = 0.9;
 
-// After a failure, and doubled with each further one.
+// Ejection after a failure, doubled after each further one.
 constexpr Duration kFirstEjection = milliseconds(300);
 constexpr Duration kLongestEjection = seconds(3);
-// After a shed, and doubled with each further one.
+// Backoff after a shed request, doubled after each further one.
 constexpr Duration kFirstShedPause = milliseconds(50);
 constexpr Duration kLongestShedPause = milliseconds(500);
-// After a refused or reset connection, and doubled with each further one: most
-// often the back end has as many connections as it takes, and another caller
-// soon closes one (docs/DECIDING.md).
+// Backoff after a refused or reset connection, doubled after each further one.
+// Most often the backend has reached its maximum of connections, and another
+// client soon closes one (docs/DECIDING.md).
 constexpr Duration kFirstRefusalPause = milliseconds(30);
 constexpr Duration kLongestRefusalPause = seconds(1);
-// After so many failures in a row a back end is down rather than busy: refused
-// connections then have paused it for 0.45 s.
+// After this many consecutive failures a backend counts as down rather than
+// busy. Refused connections have then blocked it for 0.45 s.
 constexpr std::uint32_t kDownAfterFailures = 4;
-// An attempt that is under way for longer than this, and than so many medians,
-// says nothing about when its back end becomes free.
+// An attempt that is in flight for longer than both this time and this many
+// medians does not show when its backend can take another one.
 constexpr Duration kStalledAfter = milliseconds(300);
 constexpr int kStalledAfterMedians = 3;
-// Until the discovery list shows what has become of it.
+// Backoff of a backend whose address belongs to another one, until the
+// discovery list shows the change.
 constexpr Duration kMisplacedPause = seconds(5);
 constexpr std::uint32_t kMaximumDoublings = 10;
-// What an attempt that brings no answer costs its request, beside one that
-// does: with another attempt its time, as long as the service's budget for that
-// lasts; without one, most often the whole request. In between it grows as the
-// budget runs out. Mean worth of five days with trouble, 70 machines and 100
-// machines with shorter slots: 0.622 and 0.672 with 0.8 and 1 s at all times,
-// 0.632 and 0.707 so, with hedges that adapt too (simulated). The 30 ms are
-// about the way to another region and back.
+// Added cost of an attempt that brings no answer. While the retry budget of the
+// service lasts, another attempt follows and only its time is lost (30 ms is
+// about a round trip to another region); without budget the whole request is
+// most often lost. The cost grows between the two as the budget is spent.
 constexpr Duration kRetryCost = milliseconds(30);
 constexpr Duration kLostRequestCost = seconds(1);
 
-// What a new connection adds to an attempt: the back end's time to take it (6
-// ms, the users' sheets) and a round trip within a zone. Without it a router
-// that sees a scatter in 17 s goes to another replica of each shard each time,
-// over a new connection: 1.4 new ones for each request to a back end (a fleet
-// of 985 routers, simulated).
+// Time that a new connection adds to an attempt: 6 ms in the backend and a
+// round trip within a zone. Without this cost a router that gets a scatter
+// request every 17 s chooses another replica of each shard each time, over a
+// new connection: 1.4 new connections per request to a backend in a fleet of
+// 985 routers.
 constexpr Duration kNewConnectionCost = milliseconds(7);
 
-// A router that knows a back end from so many attempts of late, or more, goes
-// by them alone: others may reach it over another network, and where all
-// routers see each back end often, all would move to the same ones at once.
+// From this many recent attempts at a backend a router uses only its own
+// observations. Other routers may reach the backend over another network path,
+// and where all routers send to each backend often, all would move to the same
+// backends at once.
 constexpr double kOwnAttempts = 1.5;
-// What others tell is never taken for more: it makes a back end four times as
-// costly as a lost attempt, and not unusable.
+// Upper bound of the reported share of failures. At this bound a backend costs
+// four failed attempts more, but stays usable.
 constexpr double kHighestToldShare = 0.8;
 
 }  // namespace
@@ -112,7 +111,8 @@
       !backend.cold_allowance.MaySend(backend.cold_share, now)) {
     return false;
   }
-  // After failures one attempt at a time shows whether it is well again.
+  // After failures one attempt at a time tests whether the backend has
+  // recovered.
   return backend.failures == 0 || backend.under_way.empty();
 }
 
@@ -144,7 +144,8 @@
                                       MonotonicTime now) {
   Duration expected = MedianLatency(backend, now);
   for (const auto& [attempt, sent] : backend.under_way) {
-    // What waits longer than expected shows that the back end stands still.
+    // An attempt in flight for longer than expected shows that the backend is
+    // slow or paused.
     expected = std::max(expected, Duration(now - sent));
   }
   const auto queue = static_cast<double>(backend.under_way.size()) /
@@ -211,7 +212,8 @@
   const Backend* best = nullptr;
   Duration best_latency{};
   std::uint64_t ties = 0;
-  // Where every one is ejected, that says little about each: all are tried.
+  // When all backends are ejected, ejection does not distinguish them, and all
+  // are candidates.
   const bool any_well =
       std::ranges::any_of(backends, [&](const Backend* backend) {
         return backend->info.canary == canary && MayServe(*backend, need) &&
@@ -225,7 +227,7 @@
     const Duration latency = ExpectedLatency(*backend, now) +
                              FailureCost(*backend, failed_attempt, now);
     const bool tie = best != nullptr && latency == best_latency;
-    // Of equals each has the same chance.
+    // Each of the backends with equal cost has the same chance.
     if (best == nullptr || latency < best_latency ||
         (tie && random_() % ++ties == 0)) {
       ties = tie ? ties : 1;
@@ -318,7 +320,7 @@
       backend.warm.OnAnswered(now);
       break;
     case AttemptResult::kCancelled:
-      // It would have taken longer still.
+      // The answer would have taken longer than this.
       if (elapsed > MedianLatency(backend, now)) {
         backend.latency.Record(elapsed, sent, now);
       }
@@ -367,7 +369,8 @@
     case AttemptResult::kRefused:
     case AttemptResult::kReset:
     case AttemptResult::kCancelled:
-      // Says something of the list, of this router's connections, or nothing.
+      // These outcomes concern the discovery list or the connections of this
+      // router, or show nothing about the backend.
       break;
   }
 }
@@ -402,7 +405,7 @@
       break;
     case AttemptResult::kAnswered:
     case AttemptResult::kCancelled:
-      // One that was given up would have taken longer still.
+      // An abandoned attempt would have taken longer than this.
       observation.latency = outcome.elapsed;
       observation.timed =
           !backend.info.cold && backend.distance < kOtherRegionDistance;
@@ -411,7 +414,7 @@
     case AttemptResult::kMisplaced:
     case AttemptResult::kUnsent:
     case AttemptResult::kRefused:
-      // It did not run the request.
+      // The backend did not run the request.
       return;
   }
   answer_tally_.Count({.service = backend.info.service,
--- a/source/common/forwarding/backend_pool.h
+++ b/source/common/forwarding/backend_pool.h
@@ -1,10 +1,12 @@
-// The back ends that a router may use, what it knows of each, and which one
-// gets the next request. Pure: time is an argument.
+// BackendPool holds the backends that a router may use and what the router has
+// observed of each, and chooses the backend for the next attempt. RequestRun
+// objects of the router share one pool; the router owns it. The pool does no
+// input or output, and callers pass the current time.
 //
-// A back end is judged by what this router sees: how long its answers take, how
-// long its oldest request has been waiting, and how its last attempts ended.
-// Where it has seen next to nothing of late, failures that other routers tell
-// of count in their place.
+// The pool ranks backends by what this router observes: the latency of their
+// answers, how long their oldest attempt has been in flight, and how their
+// latest attempts ended. Where this router has few recent attempts at a
+// backend, the pool uses the failures that other routers report.
 #pragma once
 
 #include <cstddef>
@@ -33,32 +35,33 @@
 
 namespace juniperway::forwarding {
 
-// How one attempt at a back end ended.
+// How one attempt at a backend ended.
 enum class AttemptResult {
-  kAnswered,   // A whole answer of this request that counts as success.
-  kFailed,     // A whole answer of this request that is a failure.
-  kShed,       // The back end says that it did not run the request.
-  kMisplaced,  // Another back end has the address; not run.
-  kUnsent,     // No connection came up: nothing left this process.
-  kRefused,    // A new connection was refused: nothing left this process.
+  kAnswered,   // A complete answer to this request that counts as success.
+  kFailed,     // A complete answer to this request that is a failure.
+  kShed,       // The backend reports that it did not run the request.
+  kMisplaced,  // Another backend has the address; the request did not run.
+  kUnsent,     // No connection was made: nothing was sent.
+  kRefused,    // A new connection was refused: nothing was sent.
   kReset,      // A new connection was reset before an answer: may have run.
-  kBroken,     // Sent, but no whole answer of this request came: may have run.
-  kCancelled,  // Given up by the router.
+  kBroken,     // Sent, but no complete answer came: may have run.
+  kCancelled,  // The router abandoned the attempt.
 };
 
-// Whether a service has a back end for one more request.
+// Whether a service has a backend for one more request.
 enum class Availability {
-  kNone,    // No back end, or none that is expected to take work soon.
-  kBusy,    // Every back end is in use; one is expected to become free soon.
-  kUsable,  // A back end can be chosen now.
+  kNone,    // No backend can take the request, and none is expected to soon.
+  kBusy,    // No backend can take the request now; one is expected to soon.
+  kUsable,  // A backend can be chosen now.
 };
 
-// What a request needs of a back end.
+// Which backends an attempt may use.
 struct BackendNeed {
   const std::string& service;
-  // Of its route: other regions must not get it.
+  // Home regions of the route. Backends of other regions must not get the
+  // request.
   const routes::HomeRegions& home_regions;
-  // Ids of back ends that were tried already.
+  // Ids of the backends that the request was already sent to.
   const std::vector<std::string>& tried;
 };
 
@@ -68,95 +71,107 @@
   Duration elapsed{};
 };
 
+// Settings of a BackendPool.
 struct PoolOptions {
-  // This router, as the fleet's members name it.
+  // Name of this router in the member list of the fleet view.
   std::string router{};
   std::string zone;
-  // Zone to region; a zone that is missing counts as another region's.
+  // Maps zones to regions. A zone that is missing here counts as outside the
+  // region of this router.
   std::map<std::string, std::string> regions;
   ExtraBudgetLimits extra;
-  // Tells other routers of failures, and goes by what they tell.
+  // Whether this router reports its failures to other routers and uses the
+  // failures that they report.
   bool shares_observations = true;
   std::uint64_t seed = 1;
 };
 
+// Identifies an attempt within one router.
 using AttemptId = std::uint64_t;
 
+// Chooses backends for the attempts of one router. Not thread-safe.
 class BackendPool {
  public:
-  // Of a service none of whose back ends has answered yet.
+  // Assumed latency of a service none of whose backends has answered yet.
   static constexpr Duration kInitialLatency = milliseconds(20);
-  // How long a router keeps a connection that it does not use. Back ends bound
-  // the connections that they take from all callers together, so one that is
-  // kept for a rare use takes another's place; a new one costs a round trip and
-  // time of its back end and of the router. Where a thousand routers share the
-  // requests, one sees a scatter in 17 s: of the gaps between two 3 % are
-  // longer than this, 31 % longer than 20 s. Mean worth of three days with 66
-  // routers, which use each connection more often, 0.731 at 2 s, 0.744 at 20 s
-  // (simulated, docs/DECIDING.md).
+  // How long a router keeps an unused connection open. Each backend bounds its
+  // connections from all clients together, so an idle connection takes the
+  // place of another one; a new connection costs a round trip and time of the
+  // backend and the router. With 1000 routers each router gets a scatter
+  // request every 17 s on average; 3 % of the intervals between two are longer
+  // than this timeout, and 31 % are longer than 20 s.
   static constexpr seconds kIdleConnectionTime{60};
 
   struct Backend;
 
-  // What is known of one service.
+  // State of one service.
   struct Service {
-    // Those that may get work, by id; owned by the pool.
+    // Backends that may get requests, sorted by id. The pool owns them.
     std::vector<Backend*> backends;
-    // All that are known of it, also those that get no work.
+    // Number of all backends of the service, including those that get no
+    // requests.
     std::size_t known_backends = 0;
-    // From all callers, at each back end; 0: it is not in the route table.
+    // Connections that each backend accepts from all clients together. 0 when
+    // the service is not in the route table.
     std::uint32_t maximum_connections = 0;
-    // See routes::RoutedService.
+    // See routes::RoutedService for the two warm-up settings.
     Duration warmup{};
     double cold_requests_per_second = 0;
     UsualLatency usual_latency;
-    // A back end has named the request that it answered.
+    // Whether a backend of the service has named the request that it answered.
     bool names_requests = false;
     ExtraBudget budget;
-    // Of the roll-out that is under way; 0: there is none.
+    // Number of the current rollout. 0 when the service has none.
     rollout::RolloutNumber rollout = 0;
     rollout::CanaryAllowance canary_allowance;
 
-    // Canaries are there for what the other version cannot take.
+    // Whether canaries get all requests. Backends of the baseline version then
+    // only get requests that canaries cannot take.
     bool CanariesGetMost() const {
       return canary_allowance.share() >= rollout::kFullPermille;
     }
   };
 
+  // State of one backend.
   struct Backend {
     session::DiscoveredBackend info;
-    // Of its incarnation.
+    // Identifies the incarnation of the backend in observations.
     observation::BackendHash hash = 0;
-    // Its service, owned by the pool.
+    // The service of the backend. The pool owns it.
     Service* service = nullptr;
-    // Added to its expected latency: it lies in another zone or region.
+    // Added to the expected latency because the backend is in another zone or
+    // region.
     Duration distance{};
-    // Time to an answer, without the distance.
+    // Recent latency, without locality_penalty.
     RecentLatency latency;
-    // Of its recent attempts.
+    // Failure rate of the recent attempts of this router.
     FailureRate failure_rate;
-    // Attempts under way, and when they were sent.
+    // Attempts in flight, with the time when each was sent.
     std::map<AttemptId, MonotonicTime> under_way;
-    // How many of them there may be, within this router's share.
+    // Bounds the attempts in flight, within the connection share of this
+    // router.
     ConnectionAllowance connections;
-    // Of this router, open and unused.
+    // Open and unused connections of this router to the backend.
     WarmConnections warm{kIdleConnectionTime};
-    // Attempts that failed one after the other.
+    // Number of consecutive failed attempts.
     std::uint32_t failures = 0;
-    // After failures: gets nothing before this while another one can be had.
+    // After failures, the backend gets no attempt before this time while a
+    // backend that is not ejected is available.
     MonotonicTime ejected_until = MonotonicTime::min();
-    // It shed a request, refused a connection, or its address is another's:
-    // gets nothing before this.
+    // The backend gets no attempt before this time because it shed a request,
+    // refused a connection, or its address belongs to another backend.
     MonotonicTime paused_until = MonotonicTime::min();
-    // Of its zone; empty: not known.
+    // Region of its zone. Empty when the region is not known.
     std::string region;
-    // Gone from the list, leaving or in an evacuated zone, and only kept for
-    // what is under way; else it is among its service's back ends.
+    // True when the backend has left the discovery list, drains or is in an
+    // evacuated zone. The pool then keeps it only for its attempts in flight;
+    // otherwise it is in the backends of its service.
     bool retired = true;
-    // Its zone is evacuated.
+    // Whether its zone is evacuated.
     bool evacuated = false;
-    // Its zone's evacuation has ended: it may have turned cold before, and the
-    // list lags.
+    // Before this time the backend counts as cold. Set when the evacuation of
+    // its zone ends or its process starts again: the discovery list may not
+    // show yet that it is cold.
     MonotonicTime taken_for_cold_until = MonotonicTime::min();
     ColdShare cold_share;
     ColdAllowance cold_allowance;
@@ -164,138 +179,156 @@
 
   explicit BackendPool(PoolOptions options);
 
-  // Takes in the newest view. Works out only what differs from the view before:
-  // a fleet of a thousand routers has several views a second, each of ten
-  // thousand back ends.
-  // @param routers that share back ends' connections and the budget.
+  // Applies the newest view. Processes only the backends that differ from the
+  // previous view: a fleet of 1000 routers has several views per second, each
+  // of 10,000 backends.
+  // @param routers number of routers that share the connections of the backends
+  //   and the retry budget.
   void Update(const session::FleetView& view, std::size_t routers,
               MonotonicTime now);
 
-  // @return the back end to use, or null when none may be used now.
+  // @return the backend to use, or null when none may be used now.
   const Backend* Choose(const BackendNeed& need, MonotonicTime now);
 
-  // Whether Choose could give one now, or is expected to soon.
+  // Whether Choose would return a backend now, or is expected to soon.
   Availability AvailabilityOf(const BackendNeed& need, MonotonicTime now) const;
 
+  // Record that an attempt was sent to a backend, and how it ended. Unknown
+  // backends and attempts are ignored.
   void OnSent(const std::string& id, AttemptId attempt, MonotonicTime now);
   void OnEnded(const std::string& id, AttemptId attempt, AttemptResult result,
                MonotonicTime now);
 
-  // Attempts at back ends that get no new work.
+  // Number of attempts in flight at backends that get no new requests.
   std::size_t retired_under_way() const { return retired_under_way_; }
 
-  // How an attempt at a back end ended, for the service's roll-out, if any.
+  // Counts the outcome of an attempt for the rollout of its service, if there
+  // is one.
   void CountForRollout(const std::string& route, const std::string& id,
                        const AttemptOutcome& outcome);
   rollout::AnswerTally& answer_tally() { return answer_tally_; }
-  // The service's canaries get the base share only, since no leader renews the
-  // share of its roll-out.
+  // Whether the canaries of the service get only the base share because no
+  // leader has renewed the share of the rollout.
   bool IsShareLapsed(const std::string& service, MonotonicTime now) const;
-  // The leader renewed the shares of these roll-outs (canary_allowance.h).
+  // Records that the leader renewed the shares of these rollouts until this
+  // time (canary_allowance.h).
   void OnSharesRenewed(const std::vector<rollout::RolloutNumber>& rollouts,
                        MonotonicTime until);
 
-  // What this router has to tell the others.
+  // Observations that this router has not yet reported to the other routers.
   observation::ObservationLog& observation_log() { return observation_log_; }
-  // What others tell.
+  // Adds observations of other routers.
   void OnObservations(const observation::BackendObservations& observations,
                       MonotonicTime now);
-  // Back ends that others had failures at of late.
+  // Number of backends with recent failures that other routers reported.
   std::size_t shared_failures() const { return shared_failures_.size(); }
 
-  // A back end of the service has named the request that it answered.
+  // Records that a backend of the service has named the request that it
+  // answered.
   void OnNamedRequest(const std::string& service);
 
-  // Budget of a service for hedges and retries.
+  // Retry budget of a service, which bounds its hedges and retries.
+  // OnFirstRequest counts a request that came from a client. TakeExtra returns
+  // false when the budget allows no extra attempt now, otherwise counts one.
   void OnFirstRequest(const std::string& service, MonotonicTime now);
   bool TakeExtra(const std::string& service, MonotonicTime now);
 
-  // Back ends that may get work, of all services.
+  // Number of backends of all services that may get requests.
   std::size_t live_backends() const { return live_backends_; }
   std::size_t routers() const { return routers_; }
-  // Back ends that were looked at since the start because a view differed.
+  // Number of backends that Update has processed since the start because a view
+  // differed from the one before.
   std::uint64_t backends_worked_out() const { return backends_worked_out_; }
 
  private:
   using Backends = std::map<std::string, Backend>;
 
   void NoteRouters(std::size_t routers, MonotonicTime now);
-  // Of the budgets, by the routers that share them now.
+  // Limits of the retry budgets for the current number of routers.
   const ExtraBudgetLimits& ExtraLimits(MonotonicTime now);
   void UpdateBackends(const session::FleetView& view, MonotonicTime now);
-  // One that is new, or has changed.
+  // Adds a backend that is new, or updates one that has changed.
   void TakeBackend(const std::string& id,
                    const session::DiscoveredBackend& info, MonotonicTime now);
-  // One that is not on the list any more.
+  // Removes a backend that is no longer on the discovery list.
   void DropBackend(const std::string& id);
-  // Forgets those that are gone and that nothing is under way at any more.
+  // Erases the removed backends that have no attempt in flight.
   void ForgetDeparted();
   void SetService(Backend& backend, const std::string& name);
   void SetEvacuated(Backend& backend, MonotonicTime now);
-  // Puts it among its service's back ends, or takes it out.
+  // Moves the backend into or out of the backends of its service.
   void SetRetired(Backend& backend, bool retired);
-  // Of a back end that has started again under its id: what was seen of the
-  // process before says nothing about it. Attempts that are under way there
-  // bring no answer, and do not count against the new process.
+  // Discards the observations of a backend whose process has started again
+  // under the same id: they say nothing about the new process. Attempts in
+  // flight at the old process bring no answer and do not count against the new
+  // one.
   void ForgetProcess(Backend& backend);
   void UpdateServices(const session::FleetView& view);
-  // Shares of what cold back ends take.
+  // Updates the share of this router in the request rate of cold backends.
   void UpdateColdShares(const session::FleetView& view);
-  // Takes in the roll-outs that are under way.
+  // Applies the current rollouts.
   void UpdateRollouts(const session::FleetView& view);
-  // Forgets services that neither the route table nor a back end names.
+  // Erases services that neither the route table nor a backend names.
   void ForgetServices();
 
-  // Whether rules let this request go there, now or later. Every choice of a
-  // back end asks here.
+  // Whether the rules allow this request at the backend, now or later. Every
+  // choice of a backend calls this.
   static bool MayServe(const Backend& backend, const BackendNeed& need);
-  // Whether it is cold, and its service bounds what cold ones get.
+  // Whether the backend is cold and its service limits requests to cold
+  // backends.
   static bool IsColdLimited(const Backend& backend, MonotonicTime now);
-  // Whether a canary is to be asked: for a request's first attempt, as far as
-  // the allowance reaches. Hedges and retries go to the others, which do not
-  // share the canaries' faults, as long as there are others.
+  // Whether the attempt should go to a canary: only the first attempt of a
+  // request, within the canary allowance. Hedges and retries go to backends of
+  // the baseline version, which do not share the faults of the canaries, as
+  // long as one is available.
   static bool WantsCanary(const Service& service, const BackendNeed& need);
-  // The best one of the canaries, or of the others.
+  // Returns the backend with the lowest expected cost among the canaries or
+  // among the others.
   const Backend* ChooseAmong(Service& service, const BackendNeed& need,
                              bool canary, MonotonicTime now);
-  // Whether it may be used at all, well or not.
+  // Whether the backend may get an attempt now. It may still be ejected.
   bool IsOpen(const Backend& backend, MonotonicTime now) const;
   static bool IsWell(const Backend& backend, MonotonicTime now);
-  // Not open, but only because of what is under way or a short pause.
+  // Whether the backend cannot get an attempt now but is expected to soon: only
+  // attempts in flight or a short backoff prevent it.
   static bool IsBusy(const Backend& backend, MonotonicTime now);
-  // This router's share of the connections that the back end takes.
+  // The share of this router in the connections that the backend accepts.
   std::size_t ConnectionShare(const Backend& backend) const;
-  // The median of its answers, or of its service's where it has not answered.
+  // The median of its recent latencies, or the typical latency of its service
+  // where the backend has not answered recently.
   static Duration MedianLatency(const Backend& backend, MonotonicTime now);
   static Duration ExpectedLatency(const Backend& backend, MonotonicTime now);
-  // What its recent failures add to its expected latency.
-  // @param failed_attempt what one costs now.
+  // What the recent failures of the backend add to its expected latency.
+  // @param failed_attempt cost of one failed attempt now.
   Duration FailureCost(const Backend& backend, Duration failed_attempt,
                        MonotonicTime now) const;
-  // The share of attempts at it that fail, as far as this router knows.
+  // The share of attempts at the backend that are expected to fail, from own
+  // and reported failures.
   double FailingShare(const Backend& backend, MonotonicTime now) const;
-  // Tells the other routers how an attempt ended, where that is of use to them.
+  // Logs the outcome of an attempt for the other routers, if it is useful to
+  // them.
   void NoteObservation(const Backend& backend, AttemptResult result,
                        MonotonicTime now);
   Duration DistanceOf(const std::string& zone) const;
   std::string RegionOf(const std::string& zone) const;
   void OnAnswered(Backend& backend, MonotonicTime sent,
                   MonotonicTime now) const;
-  // How long it is left alone after its latest failure; counts the failure.
+  // Counts a failure of the backend and returns the backoff that follows it.
   static Duration NextPause(Backend& backend, Duration first, Duration longest);
 
   PoolOptions options_;
   std::mt19937_64 random_;
-  // That share back ends' connections.
+  // Number of routers that share the connections of backends.
   std::size_t routers_ = 1;
-  // Some are gone: until then as many share the budget as before; max(): none.
+  // When the number of routers falls, the old number still divides the retry
+  // budget until this time. max() when no decrease is pending.
   MonotonicTime fewer_routers_from_ = MonotonicTime::max();
   Backends backends_;
   std::map<std::string, Service> services_;
   std::size_t live_backends_ = 0;
-  // Ids of back ends that are gone, with something under way.
+  // Ids of backends that have left the list and still have attempts in flight.
   std::set<std::string> departed_;
-  // What the pool was worked out from.
+  // The parts of the previous view, for comparison with the next one.
   decltype(session::FleetView::discovered) known_backends_;
   decltype(session::FleetView::evacuations) known_evacuations_;
   routes::RouteTablePointer known_table_;
--- a/source/common/forwarding/backend_pool_update.cc
+++ b/source/common/forwarding/backend_pool_update.cc
@@ -1,4 +1,5 @@
-// How BackendPool takes in views: what differs from the view before.
+// How BackendPool applies views: it processes what differs from the previous
+// view.
 #include <algorithm>
 #include <utility>
 
@@ -7,7 +8,7 @@
 namespace juniperway::forwarding {
 namespace {
 
-// Of the routers that take requests.
+// Names of the routers that accept requests.
 std::vector<std::string> RouterNames(const session::FleetView& view) {
   std::vector<std::string> names;
   for (const auto& [name, member] : view.members) {
@@ -36,7 +37,7 @@
     options_.extra.routers = routers_;
     fewer_routers_from_ = MonotonicTime::max();
   } else if (fewer_routers_from_ == MonotonicTime::max()) {
-    // What a router that is gone has taken counts for a window more.
+    // Extra attempts of a router that has left count for one more window.
     fewer_routers_from_ = now + options_.extra.window;
   }
 }
--- a/source/common/forwarding/cold_allowance.cc
+++ b/source/common/forwarding/cold_allowance.cc
@@ -8,8 +8,9 @@
 namespace juniperway::forwarding {
 namespace {
 
-// A share is for a longer window than the second that the rate speaks of: two
-// requests that leave a second apart arrive closer when the first is delayed.
+// The window is longer than the second that the rate refers to: two requests
+// that are sent a second apart arrive closer together when the first is
+// delayed.
 constexpr double kWindowSeconds = 1.1;
 
 }  // namespace
@@ -17,7 +18,7 @@
 ColdShare ColdShareOf(const std::string& router,
                       const std::vector<std::string>& routers,
                       const std::string& backend, double rate) {
-  // One that the others do not know of yet would come on top of their shares.
+  // A router that the others do not know yet would add to their shares.
   const bool known = std::ranges::find(routers, router) != routers.end();
   const auto drawn = std::min(
       routers.size(),
--- a/source/common/forwarding/cold_allowance.h
+++ b/source/common/forwarding/cold_allowance.h
@@ -1,12 +1,13 @@
-// How many requests one router may send to a cold back end, so that all routers
-// together stay under what the back end takes. Pure: time is an argument.
+// ColdAllowance bounds the requests that one router sends to a cold backend, so
+// that all routers together stay below the rate that the backend accepts.
+// BackendPool owns one for each backend. Callers pass the current time.
 //
 // The rate is mostly smaller than the number of routers, so an even share would
-// be a fraction of a request. Instead as many routers as the rate has whole
-// requests are drawn for each back end by rendezvous hashing, which needs no
-// messages and moves few draws when a router comes or goes; each of them may
-// send its share of the rate. Routers whose views differ for a moment draw
-// different sets: what the back end takes above its rate has to cover that.
+// be a fraction of a request. Rendezvous hashing therefore selects for each
+// backend as many routers as the rate has whole requests, and each of them may
+// send its share of the rate. This needs no messages and changes few selections
+// when a router joins or leaves. Routers whose views differ for a moment select
+// different sets; the backend must accept enough above its rate to cover that.
 #pragma once
 
 #include <cstddef>
@@ -17,32 +18,33 @@
 
 namespace juniperway::forwarding {
 
-// What one router may send to one cold back end.
+// What one router may send to one cold backend.
 struct ColdShare {
-  // 0: this router sends nothing.
+  // Number of requests per window. 0 when this router may send none.
   std::size_t requests = 0;
-  // In any span of this length.
+  // Length of the sliding window that bounds the requests.
   Duration window{};
 
   bool operator==(const ColdShare&) const = default;
 };
 
-// @param rate requests a second that the back end takes from all routers,
-//   above 0.
 // @param routers names of all routers.
+// @param backend id of the cold backend.
+// @param rate requests per second that the backend accepts from all routers,
+//   above 0.
 ColdShare ColdShareOf(const std::string& router,
                       const std::vector<std::string>& routers,
                       const std::string& backend, double rate);
 
-// Counts what was sent to one cold back end.
+// Counts the requests that this router sent to one cold backend.
 class ColdAllowance {
  public:
   bool MaySend(const ColdShare& share, MonotonicTime now) const;
   void OnSent(const ColdShare& share, MonotonicTime now);
 
  private:
-  // Within the last window. No std::deque: an empty one takes 0.6 KB, and a
-  // router keeps one of these for each back end that there is.
+  // Times of the requests within the last window. Not a std::deque: an empty
+  // one takes 0.6 KB, and a router keeps one ColdAllowance for each backend.
   std::vector<MonotonicTime> sent_;
 };
 
--- a/source/common/forwarding/connection_allowance.cc
+++ b/source/common/forwarding/connection_allowance.cc
@@ -5,10 +5,10 @@
 namespace juniperway::forwarding {
 namespace {
 
-// One more connection after this many answers on each that is allowed: at a
-// few answers a second the whole share is in use within a second or two.
+// Answers on each allowed connection before one more is allowed. At a few
+// answers per second the router uses its whole share within one or two seconds.
 constexpr double kAnswersPerStep = 4;
-// What a reset leaves of the connections.
+// Factor that a reset applies to the number of connections.
 constexpr double kDecrease = 0.5;
 
 }  // namespace
--- a/source/common/forwarding/connection_allowance.h
+++ b/source/common/forwarding/connection_allowance.h
@@ -1,22 +1,26 @@
-// How many connections a router may use at one back end: additive increase,
-// multiplicative decrease. A back end takes a fixed number from all callers
-// together and resets any more; how many of them other callers hold, or
-// routers that have died, cannot be asked. So it starts with one connection,
-// takes more as answers come, and fewer after a reset. Pure.
+// ConnectionAllowance bounds the connections that a router uses at one backend
+// by additive increase and multiplicative decrease. BackendPool owns one for
+// each backend. A backend accepts a fixed number of connections from all
+// clients together and resets any more; a router cannot query how many other
+// clients or crashed routers hold. So the allowance starts with one connection,
+// grows with answers and shrinks after a reset.
 #pragma once
 
 #include <cstddef>
 
 namespace juniperway::forwarding {
 
+// Number of connections that one router may use at one backend.
 class ConnectionAllowance {
  public:
-  // @param ceiling this router's share of the back end's connections.
+  // @param ceiling share of this router in the connections of the backend.
+  // @return number of connections that may be in use, at least 1.
   std::size_t Get(std::size_t ceiling) const;
 
-  // An answer came: there is room for what is open.
+  // Records an answer: the backend accepts the connections that are open.
   void OnAnswered(std::size_t ceiling);
-  // The back end reset a connection that was just opened.
+  // Records that the backend refused or reset a connection that was just
+  // opened.
   void OnRefused();
 
  private:
--- a/source/common/forwarding/extra_budget.cc
+++ b/source/common/forwarding/extra_budget.cc
@@ -5,16 +5,16 @@
 namespace juniperway::forwarding {
 namespace {
 
-// Share of the budget that is used. Each router keeps its own in every window,
-// and so does their sum; the rest covers clocks and the ways between routers
-// and back ends. Mean worth of five days with trouble and 70 machines 0.592 at
-// 0.8 with 12 slices, 0.600 at 0.95 with 22 (simulated).
+// Share of the budget that a router uses. Each router stays within its budget
+// in every window, and so does their sum; the rest covers clock differences and
+// delays between routers and backends.
 constexpr double kUsedShare = 0.95;
 
 }  // namespace
 
 void ExtraBudget::Roll(const ExtraBudgetLimits& limits, MonotonicTime now) {
-  // Two slices more than the window: the current one is not full yet.
+  // The slices span two slices more than the window, because the current slice
+  // is incomplete.
   const Duration width = limits.window / static_cast<int>(kSlices - 2);
   const std::int64_t slice = now.time_since_epoch() / width;
   const std::int64_t passed = std::min<std::int64_t>(slice - current_, kSlices);
--- a/source/common/forwarding/extra_budget.h
+++ b/source/common/forwarding/extra_budget.h
@@ -1,7 +1,8 @@
-// What one router may send to a service beyond the first request: hedges and
-// retries. The bound is the fleet's: extra requests in any window stay under
-// ratio x requests + slack, and each router keeps to its share of the slack.
-// Pure.
+// ExtraAttemptBudget bounds the extra attempts (hedges and retries) that one
+// router sends to a service. The bound holds for the fleet: in any window,
+// extra attempts stay below ratio x requests + slack, and each router uses at
+// most its share of the slack. BackendPool owns one budget for each service.
+// Callers pass the current time.
 #pragma once
 
 #include <array>
@@ -12,32 +13,36 @@
 
 namespace juniperway::forwarding {
 
+// Settings of a ExtraAttemptBudget.
 struct ExtraBudgetLimits {
-  // Of the whole fleet, for each service.
+  // Limits for the whole fleet, for each service: extra attempts per request,
+  // and a number of extra attempts per window.
   double ratio = 0.2;
   double slack = 10;
   Duration window = seconds(10);
-  // Routers that share the slack.
+  // Number of routers that share the slack.
   std::size_t routers = 1;
-  // Before this a router has no part of the slack: the process before it, which
-  // a restart made it forget, may have taken it in the window that runs.
+  // Before this time the router has no share of the slack: the process before a
+  // restart may have used it in the current window.
   MonotonicTime slack_from = MonotonicTime::min();
 };
 
+// Counts requests and extra attempts of one router at one service.
 class ExtraBudget {
  public:
-  // A first request was sent.
+  // Counts a request that came from a client.
   void OnRequest(const ExtraBudgetLimits& limits, MonotonicTime now);
 
-  // @return false when nothing extra may be sent now; else it is counted.
+  // @return false when no extra attempt may be sent now; otherwise counts one.
   bool TryTake(const ExtraBudgetLimits& limits, MonotonicTime now);
 
-  // How much of what may be taken in the window is left, 0 to 1.
+  // Remaining share of the extra attempts that are allowed in the window, 0 to
+  // 1.
   double LeftShare(const ExtraBudgetLimits& limits, MonotonicTime now);
 
  private:
-  // The window is kept as this many slices; the oldest one counts in whole, so
-  // that the budget is kept over up to 1.1 windows in place of 1.2.
+  // The counts of a window are kept in this many slices. The oldest slice
+  // counts in whole, so that the budget covers up to 1.1 windows.
   static constexpr std::size_t kSlices = 22;
 
   struct Slice {
@@ -45,7 +50,7 @@
     std::uint32_t extra = 0;
   };
 
-  // What may be taken in the window, and what was.
+  // Allowed and sent extra attempts in the window.
   struct Use {
     double allowed = 0;
     double taken = 0;
@@ -54,7 +59,8 @@
   void Roll(const ExtraBudgetLimits& limits, MonotonicTime now);
 
   std::array<Slice, kSlices> slices_{};
-  // Number of the slice that `now` falls into, counted from the clock's zero.
+  // Index of the slice that contains the current time, counted from time zero
+  // of the clock.
   std::int64_t current_ = 0;
 };
 
--- a/source/common/forwarding/failure_rate.h
+++ b/source/common/forwarding/failure_rate.h
@@ -1,28 +1,30 @@
-// The share of a back end's recent attempts that brought no answer: it shed
-// them, failed them or broke them off. Pure: time is an argument.
+// FailureRate is the share of recent attempts at a backend that brought no
+// success: the backend shed them, failed them or broke the connection.
+// BackendPool owns one for each backend. Callers pass the current time.
 //
-// Pauses and ejections last for less than a second or two; a router of a large
-// fleet asks one back end that often, so that they are over before its next
-// request. What this remembers lasts longer.
+// Backoffs and ejections mostly last less than one or two seconds. A router of
+// a large fleet sends to one backend about that rarely, so that they have ended
+// before its next request. This failure rate lasts longer.
 #pragma once
 
 #include "common/base/time.h"
 
 namespace juniperway::forwarding {
 
+// Exponentially decayed failure rate of one backend.
 class FailureRate {
  public:
-  // What was seen fades to 1 / e in this time: several requests of a router
-  // that asks a back end twice a second. Chosen, not measured alone.
+  // Time constant of the exponential decay. It spans several requests of a
+  // router that sends two per second to a backend.
   static constexpr Duration kMemory = seconds(8);
 
   void Record(bool failed, MonotonicTime now);
 
-  // 0 to 1; counts as if one more attempt had succeeded, so that a single
-  // failure of a back end that is seldom asked stands for one half.
+  // @return failure rate, 0 to 1. One successful attempt is added to the count,
+  //   so that a single failure of a rarely used backend gives one half.
   double Get(MonotonicTime now) const;
 
-  // How many attempts it is known from, faded.
+  // Decayed number of attempts that the rate is based on.
   double Attempts(MonotonicTime now) const { return ended_ * FadeTo(now); }
 
  private:
--- a/source/common/forwarding/observation_reporter.cc
+++ b/source/common/forwarding/observation_reporter.cc
@@ -5,8 +5,9 @@
 namespace juniperway::forwarding {
 namespace {
 
-// From the first observation to the report that holds it. With the relay's
-// interval (observation/observation_relay.h) all routers know within 0.35 s.
+// Delay from the first observation to the report that contains it. With the
+// interval of the relay (observation/observation_relay.h) all routers have the
+// observation within 0.35 s.
 constexpr Duration kReportDelay = milliseconds(100);
 
 }  // namespace
--- a/source/common/forwarding/observation_reporter.h
+++ b/source/common/forwarding/observation_reporter.h
@@ -1,6 +1,7 @@
-// Brings what a router sees of back ends to control: the shell round
-// observation::ObservationLog. What is seen within a moment goes out together,
-// since the parts of a scatter end within 0.1 s.
+// ObservationReporter sends the entries of an observation::ObservationLog to
+// the control nodes. It collects them for a short delay into one report,
+// because the parts of a scatter answer end within 0.1 s of each other. The
+// router owns it.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -11,6 +12,7 @@
 
 namespace juniperway::forwarding {
 
+// Schedules and sends reports of one observation log.
 class ObservationReporter {
  public:
   using Report =
@@ -20,9 +22,11 @@
   ObservationReporter(asio::io_context& context,
                       observation::ObservationLog& log);
 
-  // Before attempts end; without one nothing is reported.
+  // Sets the function that sends a report. Call it before attempts end; without
+  // it nothing is reported.
   void SetReport(Report report) { report_ = std::move(report); }
-  // Attempts have ended.
+  // Schedules a report if the log has new observations. Call it after attempts
+  // have ended.
   void OnProgress();
 
  private:
--- a/source/common/forwarding/recent_latency.h
+++ b/source/common/forwarding/recent_latency.h
@@ -1,7 +1,8 @@
-// How long a back end's answers take of late: the median of the last samples,
-// so that one pause does not make a back end slow, and a slow one shows after a
-// few: after three of five where answers come often, and after two of three
-// where they are rare, because there three would take seconds. Pure.
+// RecentLatency is the median of the latest latencies of a backend. BackendPool
+// owns one for each backend. With the median a single pause does not make a
+// backend count as slow, and a slow backend shows after a few answers: after
+// three of five where answers are frequent, and after two of three where they
+// are rare, because three would take seconds. Callers pass the current time.
 #pragma once
 
 #include <array>
@@ -11,20 +12,22 @@
 
 namespace juniperway::forwarding {
 
+// Median of the recent latencies of one backend.
 class RecentLatency {
  public:
-  // Odd, as the next: the median is a sample.
+  // Both sample counts are odd, so that the median is a sample.
   static constexpr std::size_t kSamples = 5;
-  // So many decide unless all kSamples were taken within kOften.
+  // Number of samples used unless the last kSamples were taken within
+  // kFrequentWindow.
   static constexpr std::size_t kRareSamples = 3;
   static constexpr Duration kOften = milliseconds(1500);
-  // A sample counts for this long; after that `assumed` stands for it.
+  // A sample expires after this time, and `assumed` replaces it.
   static constexpr Duration kMemory = seconds(8);
 
-  // An attempt that was sent before the last sample was taken tells of the same
-  // moment and does not count again: all that are under way in a pause are one.
+  // Adds a sample. Ignores an attempt that was sent before the last sample was
+  // taken, so that all attempts in flight during one pause give one sample.
   void Record(Duration latency, MonotonicTime sent, MonotonicTime now);
-  // @param assumed stands for each sample that there is not.
+  // @param assumed replaces each missing or expired sample.
   Duration Median(MonotonicTime now, Duration assumed) const;
 
  private:
@@ -33,10 +36,10 @@
     MonotonicTime taken = MonotonicTime::min();
   };
 
-  // The oldest is at next_.
+  // Ring buffer; the oldest sample is at next_.
   std::array<Sample, kSamples> samples_{};
   MonotonicTime last_taken_ = MonotonicTime::min();
-  // Where the next sample goes.
+  // Index of the next sample to write.
   std::size_t next_ = 0;
 };
 
--- a/source/common/forwarding/router_count.h
+++ b/source/common/forwarding/router_count.h
@@ -1,5 +1,6 @@
-// How many routers take requests, from successive views. Works out only what
-// differs: each start and stop of a router makes a view at all others.
+// RouterCount counts the routers that accept requests. It processes only what
+// differs between successive views, because each start and stop of a router
+// causes a view at all others. The router owns it.
 #pragma once
 
 #include <cstddef>
@@ -8,6 +9,7 @@
 
 namespace juniperway::forwarding {
 
+// Number of routers that accept requests.
 class RouterCount {
  public:
   using Members = decltype(session::FleetView::members);
--- a/source/common/forwarding/split_chooser.h
+++ b/source/common/forwarding/split_chooser.h
@@ -1,6 +1,7 @@
-// Divides the requests of a split route among its services by their weights:
-// each request goes to the part that lies furthest behind its share, so that
-// the shares hold over short spans too. Pure.
+// SplitChooser divides the requests of a split route among its services by
+// their weights. Each request goes to the service whose count is furthest below
+// its share, so that the shares hold over short windows too. The router owns
+// it.
 #pragma once
 
 #include <map>
@@ -11,6 +12,7 @@
 
 namespace juniperway::forwarding {
 
+// Weighted choice among the services of split routes.
 class SplitChooser {
  public:
   // @return the service for the next request of the route.
@@ -19,11 +21,11 @@
  private:
   struct State {
     std::vector<routes::WeightedService> parts;
-    // What each part is owed, in requests.
+    // For each service, the number of requests that it is below its share.
     std::vector<double> owed;
   };
 
-  // By route name.
+  // State of each split route, by route name.
   std::map<std::string, State> states_;
 };
 
--- a/source/common/forwarding/usual_deadline.cc
+++ b/source/common/forwarding/usual_deadline.cc
@@ -5,7 +5,7 @@
 namespace juniperway::forwarding {
 
 Duration UsualDeadline::ElapsedBefore(Duration allowed, MonotonicTime now) {
-  // Also at the first request, whose clock has no period before it.
+  // The first request starts the first window.
   const bool over =
       period_began_ == MonotonicTime::min() || now - period_began_ >= kPeriod;
   if (over) {
--- a/source/common/forwarding/usual_deadline.h
+++ b/source/common/forwarding/usual_deadline.h
@@ -1,21 +1,25 @@
-// The time that clients usually give a request of one route. A request that
-// comes with less has most likely been tried before: what is missing is how
-// long ago the client asked for the first time. Pure.
+// UsualDeadline records the longest timeout that clients recently gave requests
+// of one route. A client most likely retries a request that comes with a
+// shorter timeout, and the difference shows how long ago it sent the request
+// for the first time. The router owns one for each route. Callers pass the
+// current time.
 #pragma once
 
 #include "common/base/time.h"
 
 namespace juniperway::forwarding {
 
+// Estimates how long before a request its client first sent it.
 class UsualDeadline {
  public:
-  // What was seen counts for one to two of these: clients' settings change, and
-  // a single long deadline must not make all others look old for good.
+  // A timeout counts for one to two of these windows. Settings of clients
+  // change, and a single long timeout must not make all later requests count as
+  // retries.
   static constexpr Duration kPeriod = seconds(10);
 
-  // @param allowed the time that a request came with.
-  // @return how long before `now` the client asked for the first time, as far
-  //   as can be told; zero at least.
+  // @param allowed the timeout that a request came with.
+  // @return the estimated time between the first request of the client and
+  //   `now`, at least zero.
   Duration ElapsedBefore(Duration allowed, MonotonicTime now);
 
  private:
--- a/source/common/forwarding/usual_latency.cc
+++ b/source/common/forwarding/usual_latency.cc
@@ -5,7 +5,7 @@
 namespace juniperway::forwarding {
 namespace {
 
-// An estimate of zero could not grow by a ratio.
+// Lower bound of the estimate. An estimate of zero could not grow by a ratio.
 constexpr Duration kShortest = microseconds(100);
 
 }  // namespace
--- a/source/common/forwarding/usual_latency.h
+++ b/source/common/forwarding/usual_latency.h
@@ -1,6 +1,6 @@
-// How long the answers of a service usually take: a low quantile over many
-// samples in constant space. It stands for a back end that has not answered of
-// late. Pure.
+// TypicalLatency estimates a low quantile of the latencies of a service in
+// constant space. BackendPool owns one for each service and uses it for
+// backends that have not answered recently.
 #pragma once
 
 #include <optional>
@@ -14,14 +14,16 @@
 // with steps relative to the estimate).
 class UsualLatency {
  public:
-  // Low, so that back ends that are slow for a while, and are asked while they
-  // are, do not make the others of their service look slow too.
+  // The quantile is low so that backends that are slow for a while, and still
+  // get requests, do not raise the estimate for the other backends of their
+  // service.
   static constexpr double kQuantile = 0.25;
-  // Ratio of one step in each direction, before it is weighted by the quantile.
+  // Relative size of one step in each direction, before the quantile weights
+  // it.
   static constexpr double kRelativeStep = 0.05;
 
   void Record(Duration latency);
-  // @return nothing before the first sample.
+  // @return the estimate, or nothing before the first sample.
   std::optional<Duration> Get() const { return estimate_; }
 
  private:
--- a/source/common/forwarding/warm_connections.h
+++ b/source/common/forwarding/warm_connections.h
@@ -1,6 +1,7 @@
-// An estimate of the connections to one back end that are open and unused, from
-// when attempts ended there: the HTTP client keeps them by itself and does not
-// say. Pure: time is an argument.
+// IdleConnections estimates the open and unused connections of a router to one
+// backend from the times when attempts ended there, because the HTTP client
+// manages its connections without reporting them. BackendPool owns one for each
+// backend. Callers pass the current time.
 #pragma once
 
 #include <vector>
@@ -9,16 +10,19 @@
 
 namespace juniperway::forwarding {
 
+// Idle connections of one router to one backend.
 class WarmConnections {
  public:
-  // @param kept how long an unused connection stays open.
+  // @param idle_timeout how long an unused connection stays open.
   explicit WarmConnections(Duration kept) : kept_(kept) {}
 
-  // An attempt is sent: it takes an unused connection, or opens one.
+  // Records that an attempt was sent: it uses an idle connection or opens a new
+  // one.
   void OnSent(MonotonicTime now);
-  // An attempt has ended with a whole answer: its connection is unused now.
+  // Records that an attempt ended with a complete answer: its connection is
+  // idle now.
   void OnAnswered(MonotonicTime now) { unused_since_.push_back(now); }
-  // All are gone.
+  // Records that all connections are closed.
   void Clear() { unused_since_.clear(); }
 
   bool IsAnyOpen(MonotonicTime now) const {
@@ -27,8 +31,9 @@
 
  private:
   Duration kept_;
-  // The oldest first. No std::deque: an empty one takes 0.6 KB, and a router
-  // keeps one of these for each back end that there is.
+  // Start of the idle time of each connection, the oldest first. Not a
+  // std::deque: an empty one takes 0.6 KB, and a router keeps one
+  // IdleConnections for each backend.
   std::vector<MonotonicTime> unused_since_;
 };
 
