--- a/source/common/forwarding/adaptive_throttle.cc
+++ b/source/common/forwarding/adaptive_throttle.cc
@@ -8,11 +8,11 @@
 
 void AdaptiveThrottle::Advance(MonotonicTime now) {
   const std::chrono::duration<double> passed = now - advanced_to_;
-  const std::chrono::duration<double> memory = kMemory;
-  const double kept = std::exp(-passed / memory);
-  ended_ *= kept;
-  turned_away_ *= kept;
-  share_ = std::min(1.0, share_ + kGrowth * passed.count());
+  const std::chrono::duration<double> decay_time = kMemory;
+  const double factor = std::exp(-passed / decay_time);
+  ended_ *= factor;
+  shed_ *= factor;
+  share_ = std::min(1.0, share_ + kGrowthPerSecond * passed.count());
   advanced_to_ = now;
 }
 
@@ -22,18 +22,18 @@
   return share_ >= 1 || draw(random_) < share_;
 }
 
-void AdaptiveThrottle::OnEnded(bool turned_away, MonotonicTime now) {
+void AdaptiveThrottle::OnEnded(bool shed, MonotonicTime now) {
   Advance(now);
   ++ended_;
-  if (!turned_away) {
+  if (!shed) {
     return;
   }
-  ++turned_away_;
-  if (turned_away_ < kFewestTurnedAway) {
+  ++shed_;
+  if (shed_ < kMinimumShedRequests) {
     return;
   }
-  const double fall = std::min(kLargestFall, kFall / ended_);
-  share_ = std::max(kSmallestShare, share_ * (1 - fall));
+  const double decrease = std::min(kMaximumDecrease, kDecreaseFactor / ended_);
+  share_ = std::max(kMinimumShare, share_ * (1 - decrease));
 }
 
 }  // namespace juniperway::forwarding
--- a/source/common/forwarding/adaptive_throttle.h
+++ b/source/common/forwarding/adaptive_throttle.h
@@ -26,22 +26,22 @@
   // Growth of the admitted share per second: from 0 to 1 in two seconds. At
   // 0.25 (and a decrease factor of 4) routers with 200 requests per second used
   // half of the capacity.
-  static constexpr double kGrowth = 0.5;
+  static constexpr double kGrowthPerSecond = 0.5;
   // Each shed request lowers the admitted share by this factor, divided by the
   // number of requests that ended recently, and by half at most. While all
   // requests are admitted, the share falls as soon as more than
   // kGrowthPerSecond / kDecreaseFactor of them are shed.
-  static constexpr double kFall = 3;
-  static constexpr double kLargestFall = 0.5;
+  static constexpr double kDecreaseFactor = 3;
+  static constexpr double kMaximumDecrease = 0.5;
   // Some requests are always admitted, to detect that the backends have
   // capacity again.
-  static constexpr double kSmallestShare = 0.05;
+  static constexpr double kMinimumShare = 0.05;
   // Time constant of the exponential decay of the counts.
   static constexpr Duration kMemory = seconds(1);
   // Minimum decayed number of shed requests before the share falls. A single
   // shed request may have met a backend that was full for a moment. Two that
   // are 1.4 s apart stay below the minimum.
-  static constexpr double kFewestTurnedAway = 1.25;
+  static constexpr double kMinimumShedRequests = 1.25;
 
   explicit AdaptiveThrottle(std::uint64_t seed) : random_(seed) {}
 
@@ -49,7 +49,7 @@
   bool Admit(MonotonicTime now);
   // @param shed the request failed or was late, and backends had shed attempts
   //   of it.
-  void OnEnded(bool turned_away, MonotonicTime now);
+  void OnEnded(bool shed, MonotonicTime now);
 
   // Share of requests that is admitted at present, 0 to 1.
   double admitted_share() const { return share_; }
@@ -62,7 +62,7 @@
   // Decayed numbers of admitted requests that ended, and of those that backends
   // shed.
   double ended_ = 0;
-  double turned_away_ = 0;
+  double shed_ = 0;
   double share_ = 1;
 };
 
--- a/source/common/forwarding/backend_pool.cc
+++ b/source/common/forwarding/backend_pool.cc
@@ -9,33 +9,33 @@
 // How much longer a backend of the same zone may take before the pool prefers
 // one elsewhere. More than the round trips take (2 to 3 ms within a region, 24
 // ms to another one), because traffic between zones and regions costs money.
-constexpr Duration kSameRegionDistance = milliseconds(10);
-constexpr Duration kOtherRegionDistance = milliseconds(60);
+constexpr Duration kSameRegionPenalty = milliseconds(10);
+constexpr Duration kOtherRegionPenalty = milliseconds(60);
 // Share of the connections of a backend that the routers use together. The rest
 // covers connections that are closing and routers that are not known yet.
 constexpr double kConnectionShare = 0.9;
 
 // Ejection after a failure, doubled after each further one.
-constexpr Duration kFirstEjection = milliseconds(300);
-constexpr Duration kLongestEjection = seconds(3);
+constexpr Duration kInitialEjection = milliseconds(300);
+constexpr Duration kMaximumEjection = seconds(3);
 // Backoff after a shed request, doubled after each further one.
-constexpr Duration kFirstShedPause = milliseconds(50);
-constexpr Duration kLongestShedPause = milliseconds(500);
+constexpr Duration kInitialShedBackoff = milliseconds(50);
+constexpr Duration kMaximumShedBackoff = milliseconds(500);
 // Backoff after a refused or reset connection, doubled after each further one.
 // Most often the backend has reached its maximum of connections, and another
 // client soon closes one (docs/DECIDING.md).
-constexpr Duration kFirstRefusalPause = milliseconds(30);
-constexpr Duration kLongestRefusalPause = seconds(1);
+constexpr Duration kInitialRefusalBackoff = milliseconds(30);
+constexpr Duration kMaximumRefusalBackoff = seconds(1);
 // After this many consecutive failures a backend counts as down rather than
 // busy. Refused connections have then blocked it for 0.45 s.
 constexpr std::uint32_t kDownAfterFailures = 4;
 // An attempt that is in flight for longer than both this time and this many
 // medians does not show when its backend can take another one.
-constexpr Duration kStalledAfter = milliseconds(300);
-constexpr int kStalledAfterMedians = 3;
+constexpr Duration kUnresponsiveAfter = milliseconds(300);
+constexpr int kUnresponsiveAfterMedians = 3;
 // Backoff of a backend whose address belongs to another one, until the
 // discovery list shows the change.
-constexpr Duration kMisplacedPause = seconds(5);
+constexpr Duration kMisplacedBackoff = seconds(5);
 constexpr std::uint32_t kMaximumDoublings = 10;
 // Added cost of an attempt that brings no answer. While the retry budget of the
 // service lasts, another attempt follows and only its time is lost (30 ms is
@@ -55,10 +55,10 @@
 // observations. Other routers may reach the backend over another network path,
 // and where all routers send to each backend often, all would move to the same
 // backends at once.
-constexpr double kOwnAttempts = 1.5;
+constexpr double kMinimumOwnAttempts = 1.5;
 // Upper bound of the reported share of failures. At this bound a backend costs
 // four failed attempts more, but stays usable.
-constexpr double kHighestToldShare = 0.8;
+constexpr double kMaximumReportedShare = 0.8;
 
 }  // namespace
 
@@ -67,17 +67,17 @@
       random_(options_.seed),
       shared_failures_(options_.seed) {}
 
-Duration BackendPool::DistanceOf(const std::string& zone) const {
+Duration BackendPool::LocalityPenalty(const std::string& zone) const {
   const Place own = {options_.zone, RegionOf(options_.zone)};
   switch (LocalityBetween(own, {zone, RegionOf(zone)})) {
     case Locality::kSameZone:
       return Duration(0);
     case Locality::kSameRegion:
-      return kSameRegionDistance;
+      return kSameRegionPenalty;
     case Locality::kOtherRegion:
       break;
   }
-  return kOtherRegionDistance;
+  return kOtherRegionPenalty;
 }
 
 std::string BackendPool::RegionOf(const std::string& zone) const {
@@ -91,19 +91,20 @@
   return std::max<std::size_t>(1, static_cast<std::size_t>(share));
 }
 
-bool BackendPool::MayServe(const Backend& backend, const BackendNeed& need) {
+bool BackendPool::IsEligible(const Backend& backend, const BackendNeed& need) {
   return need.home_regions.Allows(backend.region) &&
          std::ranges::find(need.tried, backend.info.id) == need.tried.end();
 }
 
 bool BackendPool::IsColdLimited(const Backend& backend, MonotonicTime now) {
-  const bool cold = backend.info.cold || now < backend.taken_for_cold_until;
+  const bool cold = backend.info.cold || now < backend.assumed_cold_until;
   return cold && backend.service->cold_requests_per_second > 0;
 }
 
-bool BackendPool::IsOpen(const Backend& backend, MonotonicTime now) const {
-  if (backend.retired || now < backend.paused_until ||
-      backend.under_way.size() >=
+bool BackendPool::CanTakeAttempt(const Backend& backend,
+                                 MonotonicTime now) const {
+  if (backend.retired || now < backend.backoff_until ||
+      backend.in_flight.size() >=
           backend.connections.Get(ConnectionShare(backend))) {
     return false;
   }
@@ -113,65 +114,67 @@
   }
   // After failures one attempt at a time tests whether the backend has
   // recovered.
-  return backend.failures == 0 || backend.under_way.empty();
+  return backend.failures == 0 || backend.in_flight.empty();
 }
 
-bool BackendPool::IsWell(const Backend& backend, MonotonicTime now) {
+bool BackendPool::IsHealthy(const Backend& backend, MonotonicTime now) {
   return now >= backend.ejected_until;
 }
 
 bool BackendPool::IsBusy(const Backend& backend, MonotonicTime now) {
   if (backend.retired || backend.failures >= kDownAfterFailures ||
-      backend.paused_until > now + kLongestShedPause) {
+      backend.backoff_until > now + kMaximumShedBackoff) {
     return false;
   }
   if (IsColdLimited(backend, now) && backend.cold_share.requests == 0) {
     return false;
   }
-  const Duration stalled = std::max(
-      kStalledAfter, MedianLatency(backend, now) * kStalledAfterMedians);
-  return std::ranges::all_of(backend.under_way, [&](const auto& attempt) {
-    return now - attempt.second <= stalled;
+  const Duration unresponsive_after =
+      std::max(kUnresponsiveAfter,
+               MedianLatency(backend, now) * kUnresponsiveAfterMedians);
+  return std::ranges::all_of(backend.in_flight, [&](const auto& attempt) {
+    return now - attempt.second <= unresponsive_after;
   });
 }
 
 Duration BackendPool::MedianLatency(const Backend& backend, MonotonicTime now) {
-  const auto usual = backend.service->usual_latency.Get();
-  return backend.latency.Median(now, usual.value_or(kInitialLatency));
+  const auto typical = backend.service->typical_latency.Get();
+  return backend.latency.Median(now, typical.value_or(kInitialLatency));
 }
 
 Duration BackendPool::ExpectedLatency(const Backend& backend,
                                       MonotonicTime now) {
   Duration expected = MedianLatency(backend, now);
-  for (const auto& [attempt, sent] : backend.under_way) {
+  for (const auto& [attempt, sent] : backend.in_flight) {
     // An attempt in flight for longer than expected shows that the backend is
     // slow or paused.
     expected = std::max(expected, Duration(now - sent));
   }
-  const auto queue = static_cast<double>(backend.under_way.size()) /
+  const auto queue = static_cast<double>(backend.in_flight.size()) /
                      std::max(1U, backend.info.slots);
-  const Duration connecting =
-      backend.warm.IsAnyOpen(now) ? Duration(0) : kNewConnectionCost;
+  const Duration connecting = backend.idle_connections.IsAnyOpen(now)
+                                  ? Duration(0)
+                                  : kNewConnectionCost;
   return Duration(static_cast<Duration::rep>(
              static_cast<double>(expected.count()) * (1 + queue))) +
-         backend.distance + connecting;
+         backend.locality_penalty + connecting;
 }
 
-double BackendPool::FailingShare(const Backend& backend,
-                                 MonotonicTime now) const {
+double BackendPool::ExpectedFailureShare(const Backend& backend,
+                                         MonotonicTime now) const {
   const double own = backend.failure_rate.Get(now);
   if (shared_failures_.size() == 0 ||
-      backend.failure_rate.Attempts(now) >= kOwnAttempts) {
+      backend.failure_rate.DecayedAttempts(now) >= kMinimumOwnAttempts) {
     return own;
   }
-  const double told = shared_failures_.SuspicionOf(backend.hash, now);
-  return std::max(own, std::min(told, kHighestToldShare));
+  const double reported = shared_failures_.SuspicionOf(backend.hash, now);
+  return std::max(own, std::min(reported, kMaximumReportedShare));
 }
 
 Duration BackendPool::FailureCost(const Backend& backend,
                                   Duration failed_attempt,
                                   MonotonicTime now) const {
-  const double failing = FailingShare(backend, now);
+  const double failing = ExpectedFailureShare(backend, now);
   return Duration(static_cast<Duration::rep>(
       static_cast<double>(failed_attempt.count()) * failing / (1 - failing)));
 }
@@ -195,7 +198,7 @@
     }
   }
   const Backend* other = ChooseAmong(service, need, /*canary=*/false, now);
-  return other == nullptr && service.CanariesGetMost()
+  return other == nullptr && service.CanariesGetAll()
              ? ChooseAmong(service, need, /*canary=*/true, now)
              : other;
 }
@@ -205,7 +208,8 @@
                                                      bool canary,
                                                      MonotonicTime now) {
   const std::vector<Backend*>& backends = service.backends;
-  const double spent = 1 - service.budget.LeftShare(ExtraLimits(now), now);
+  const double spent =
+      1 - service.budget.RemainingShare(BudgetLimits(now), now);
   const Duration failed_attempt = std::max(
       kRetryCost, Duration(static_cast<Duration::rep>(
                       static_cast<double>(kLostRequestCost.count()) * spent)));
@@ -214,14 +218,15 @@
   std::uint64_t ties = 0;
   // When all backends are ejected, ejection does not distinguish them, and all
   // are candidates.
-  const bool any_well =
+  const bool any_healthy =
       std::ranges::any_of(backends, [&](const Backend* backend) {
-        return backend->info.canary == canary && MayServe(*backend, need) &&
-               IsOpen(*backend, now) && IsWell(*backend, now);
+        return backend->info.canary == canary && IsEligible(*backend, need) &&
+               CanTakeAttempt(*backend, now) && IsHealthy(*backend, now);
       });
   for (const Backend* backend : backends) {
-    if (backend->info.canary != canary || !MayServe(*backend, need) ||
-        !IsOpen(*backend, now) || (any_well && !IsWell(*backend, now))) {
+    if (backend->info.canary != canary || !IsEligible(*backend, need) ||
+        !CanTakeAttempt(*backend, now) ||
+        (any_healthy && !IsHealthy(*backend, now))) {
       continue;
     }
     const Duration latency = ExpectedLatency(*backend, now) +
@@ -246,12 +251,12 @@
   }
   auto availability = Availability::kNone;
   const Service& service = found->second;
-  const bool canaries = WantsCanary(service, need) || service.CanariesGetMost();
+  const bool canaries = WantsCanary(service, need) || service.CanariesGetAll();
   for (const Backend* backend : service.backends) {
-    if (!MayServe(*backend, need) || (backend->info.canary && !canaries)) {
+    if (!IsEligible(*backend, need) || (backend->info.canary && !canaries)) {
       continue;
     }
-    if (IsOpen(*backend, now)) {
+    if (CanTakeAttempt(*backend, now)) {
       return Availability::kUsable;
     }
     if (IsBusy(*backend, now)) {
@@ -267,9 +272,9 @@
   if (backend == backends_.end()) {
     return;
   }
-  backend->second.under_way[attempt] = now;
+  backend->second.in_flight[attempt] = now;
   retired_under_way_ += backend->second.retired ? 1 : 0;
-  backend->second.warm.OnSent(now);
+  backend->second.idle_connections.OnSent(now);
   if (IsColdLimited(backend->second, now)) {
     backend->second.cold_allowance.OnSent(backend->second.cold_share, now);
   }
@@ -278,21 +283,21 @@
   }
 }
 
-Duration BackendPool::NextPause(Backend& backend, Duration first,
-                                Duration longest) {
+Duration BackendPool::NextBackoff(Backend& backend, Duration initial,
+                                  Duration maximum) {
   const std::uint32_t doublings = std::min(backend.failures, kMaximumDoublings);
   ++backend.failures;
-  return std::min(longest, first * (1 << doublings));
+  return std::min(maximum, initial * (1 << doublings));
 }
 
 void BackendPool::OnAnswered(Backend& backend, MonotonicTime sent,
                              MonotonicTime now) const {
   const Duration latency =
-      std::max(Duration(0), Duration(now - sent) - backend.distance);
+      std::max(Duration(0), Duration(now - sent) - backend.locality_penalty);
   backend.failures = 0;
   backend.connections.OnAnswered(ConnectionShare(backend));
   backend.latency.Record(latency, sent, now);
-  backend.service->usual_latency.Record(latency);
+  backend.service->typical_latency.Record(latency);
 }
 
 void BackendPool::OnEnded(const std::string& id, AttemptId attempt,
@@ -302,22 +307,22 @@
     return;
   }
   Backend& backend = found->second;
-  const auto under_way = backend.under_way.find(attempt);
-  if (under_way == backend.under_way.end()) {
+  const auto in_flight = backend.in_flight.find(attempt);
+  if (in_flight == backend.in_flight.end()) {
     return;
   }
-  const MonotonicTime sent = under_way->second;
+  const MonotonicTime sent = in_flight->second;
   const Duration elapsed = now - sent;
-  backend.under_way.erase(under_way);
+  backend.in_flight.erase(in_flight);
   retired_under_way_ -= backend.retired ? 1 : 0;
   if (result != AttemptResult::kCancelled) {
     backend.failure_rate.Record(result != AttemptResult::kAnswered, now);
   }
-  NoteObservation(backend, result, now);
+  LogObservation(backend, result, now);
   switch (result) {
     case AttemptResult::kAnswered:
       OnAnswered(backend, sent, now);
-      backend.warm.OnAnswered(now);
+      backend.idle_connections.OnAnswered(now);
       break;
     case AttemptResult::kCancelled:
       // The answer would have taken longer than this.
@@ -326,30 +331,30 @@
       }
       break;
     case AttemptResult::kShed:
-      backend.paused_until =
-          now + NextPause(backend, kFirstShedPause, kLongestShedPause);
+      backend.backoff_until =
+          now + NextBackoff(backend, kInitialShedBackoff, kMaximumShedBackoff);
       break;
     case AttemptResult::kRefused:
     case AttemptResult::kReset:
       backend.connections.OnRefused();
-      backend.paused_until =
-          now + NextPause(backend, kFirstRefusalPause, kLongestRefusalPause);
+      backend.backoff_until = now + NextBackoff(backend, kInitialRefusalBackoff,
+                                                kMaximumRefusalBackoff);
       break;
     case AttemptResult::kMisplaced:
-      backend.paused_until =
-          now + NextPause(backend, kMisplacedPause, kMisplacedPause);
+      backend.backoff_until =
+          now + NextBackoff(backend, kMisplacedBackoff, kMisplacedBackoff);
       break;
     case AttemptResult::kFailed:
     case AttemptResult::kUnsent:
     case AttemptResult::kBroken:
       backend.ejected_until =
-          now + NextPause(backend, kFirstEjection, kLongestEjection);
+          now + NextBackoff(backend, kInitialEjection, kMaximumEjection);
       break;
   }
 }
 
-void BackendPool::NoteObservation(const Backend& backend, AttemptResult result,
-                                  MonotonicTime now) {
+void BackendPool::LogObservation(const Backend& backend, AttemptResult result,
+                                 MonotonicTime now) {
   if (!options_.shares_observations) {
     return;
   }
@@ -408,7 +413,7 @@
       // An abandoned attempt would have taken longer than this.
       observation.latency = outcome.elapsed;
       observation.timed =
-          !backend.info.cold && backend.distance < kOtherRegionDistance;
+          !backend.info.cold && backend.locality_penalty < kOtherRegionPenalty;
       break;
     case AttemptResult::kShed:
     case AttemptResult::kMisplaced:
@@ -450,12 +455,12 @@
 void BackendPool::OnFirstRequest(const std::string& service,
                                  MonotonicTime now) {
   Service& known = services_[service];
-  known.budget.OnRequest(ExtraLimits(now), now);
+  known.budget.OnRequest(BudgetLimits(now), now);
   known.canary_allowance.OnRequest(random_(), now);
 }
 
 bool BackendPool::TakeExtra(const std::string& service, MonotonicTime now) {
-  return services_[service].budget.TryTake(ExtraLimits(now), now);
+  return services_[service].budget.TryTake(BudgetLimits(now), now);
 }
 
 }  // namespace juniperway::forwarding
--- a/source/common/forwarding/backend_pool.h
+++ b/source/common/forwarding/backend_pool.h
@@ -110,24 +110,24 @@
     std::vector<Backend*> backends;
     // Number of all backends of the service, including those that get no
     // requests.
-    std::size_t known_backends = 0;
+    std::size_t discovered_backends = 0;
     // Connections that each backend accepts from all clients together. 0 when
     // the service is not in the route table.
     std::uint32_t maximum_connections = 0;
-    // See routes::RoutedService for the two warm-up settings.
+    // See routes::RoutedService for the two idle_connections-up settings.
     Duration warmup{};
     double cold_requests_per_second = 0;
-    UsualLatency usual_latency;
+    TypicalLatency typical_latency;
     // Whether a backend of the service has named the request that it answered.
     bool names_requests = false;
-    ExtraBudget budget;
+    ExtraAttemptBudget budget;
     // Number of the current rollout. 0 when the service has none.
     rollout::RolloutNumber rollout = 0;
     rollout::CanaryAllowance canary_allowance;
 
     // Whether canaries get all requests. Backends of the baseline version then
     // only get requests that canaries cannot take.
-    bool CanariesGetMost() const {
+    bool CanariesGetAll() const {
       return canary_allowance.share() >= rollout::kFullPermille;
     }
   };
@@ -141,18 +141,18 @@
     Service* service = nullptr;
     // Added to the expected latency because the backend is in another zone or
     // region.
-    Duration distance{};
+    Duration locality_penalty{};
     // Recent latency, without locality_penalty.
     RecentLatency latency;
     // Failure rate of the recent attempts of this router.
     FailureRate failure_rate;
     // Attempts in flight, with the time when each was sent.
-    std::map<AttemptId, MonotonicTime> under_way;
+    std::map<AttemptId, MonotonicTime> in_flight;
     // Bounds the attempts in flight, within the connection share of this
     // router.
     ConnectionAllowance connections;
     // Open and unused connections of this router to the backend.
-    WarmConnections warm{kIdleConnectionTime};
+    IdleConnections idle_connections{kIdleConnectionTime};
     // Number of consecutive failed attempts.
     std::uint32_t failures = 0;
     // After failures, the backend gets no attempt before this time while a
@@ -160,7 +160,7 @@
     MonotonicTime ejected_until = MonotonicTime::min();
     // The backend gets no attempt before this time because it shed a request,
     // refused a connection, or its address belongs to another backend.
-    MonotonicTime paused_until = MonotonicTime::min();
+    MonotonicTime backoff_until = MonotonicTime::min();
     // Region of its zone. Empty when the region is not known.
     std::string region;
     // True when the backend has left the discovery list, drains or is in an
@@ -172,7 +172,7 @@
     // Before this time the backend counts as cold. Set when the evacuation of
     // its zone ends or its process starts again: the discovery list may not
     // show yet that it is cold.
-    MonotonicTime taken_for_cold_until = MonotonicTime::min();
+    MonotonicTime assumed_cold_until = MonotonicTime::min();
     ColdShare cold_share;
     ColdAllowance cold_allowance;
   };
@@ -238,42 +238,43 @@
   std::size_t routers() const { return routers_; }
   // Number of backends that Update has processed since the start because a view
   // differed from the one before.
-  std::uint64_t backends_worked_out() const { return backends_worked_out_; }
+  std::uint64_t backends_processed() const { return backends_processed_; }
 
  private:
   using Backends = std::map<std::string, Backend>;
 
-  void NoteRouters(std::size_t routers, MonotonicTime now);
+  void SetRouterCount(std::size_t routers, MonotonicTime now);
   // Limits of the retry budgets for the current number of routers.
-  const ExtraBudgetLimits& ExtraLimits(MonotonicTime now);
+  const ExtraBudgetLimits& BudgetLimits(MonotonicTime now);
   void UpdateBackends(const session::FleetView& view, MonotonicTime now);
   // Adds a backend that is new, or updates one that has changed.
-  void TakeBackend(const std::string& id,
-                   const session::DiscoveredBackend& info, MonotonicTime now);
+  void AddOrUpdateBackend(const std::string& id,
+                          const session::DiscoveredBackend& info,
+                          MonotonicTime now);
   // Removes a backend that is no longer on the discovery list.
-  void DropBackend(const std::string& id);
+  void RemoveBackend(const std::string& id);
   // Erases the removed backends that have no attempt in flight.
-  void ForgetDeparted();
+  void EraseRemovedBackends();
   void SetService(Backend& backend, const std::string& name);
   void SetEvacuated(Backend& backend, MonotonicTime now);
   // Moves the backend into or out of the backends of its service.
   void SetRetired(Backend& backend, bool retired);
   // Discards the observations of a backend whose process has started again
-  // under the same id: they say nothing about the new process. Attempts in
-  // flight at the old process bring no answer and do not count against the new
-  // one.
-  void ForgetProcess(Backend& backend);
+  // under the same id: they say nothing about the new process. DecayedAttempts
+  // in flight at the old process bring no answer and do not count against the
+  // new one.
+  void ResetObservations(Backend& backend);
   void UpdateServices(const session::FleetView& view);
   // Updates the share of this router in the request rate of cold backends.
   void UpdateColdShares(const session::FleetView& view);
   // Applies the current rollouts.
   void UpdateRollouts(const session::FleetView& view);
   // Erases services that neither the route table nor a backend names.
-  void ForgetServices();
+  void EraseUnusedServices();
 
   // Whether the rules allow this request at the backend, now or later. Every
   // choice of a backend calls this.
-  static bool MayServe(const Backend& backend, const BackendNeed& need);
+  static bool IsEligible(const Backend& backend, const BackendNeed& need);
   // Whether the backend is cold and its service limits requests to cold
   // backends.
   static bool IsColdLimited(const Backend& backend, MonotonicTime now);
@@ -287,8 +288,8 @@
   const Backend* ChooseAmong(Service& service, const BackendNeed& need,
                              bool canary, MonotonicTime now);
   // Whether the backend may get an attempt now. It may still be ejected.
-  bool IsOpen(const Backend& backend, MonotonicTime now) const;
-  static bool IsWell(const Backend& backend, MonotonicTime now);
+  bool CanTakeAttempt(const Backend& backend, MonotonicTime now) const;
+  static bool IsHealthy(const Backend& backend, MonotonicTime now);
   // Whether the backend cannot get an attempt now but is expected to soon: only
   // attempts in flight or a short backoff prevent it.
   static bool IsBusy(const Backend& backend, MonotonicTime now);
@@ -304,17 +305,18 @@
                        MonotonicTime now) const;
   // The share of attempts at the backend that are expected to fail, from own
   // and reported failures.
-  double FailingShare(const Backend& backend, MonotonicTime now) const;
+  double ExpectedFailureShare(const Backend& backend, MonotonicTime now) const;
   // Logs the outcome of an attempt for the other routers, if it is useful to
   // them.
-  void NoteObservation(const Backend& backend, AttemptResult result,
-                       MonotonicTime now);
-  Duration DistanceOf(const std::string& zone) const;
+  void LogObservation(const Backend& backend, AttemptResult result,
+                      MonotonicTime now);
+  Duration LocalityPenalty(const std::string& zone) const;
   std::string RegionOf(const std::string& zone) const;
   void OnAnswered(Backend& backend, MonotonicTime sent,
                   MonotonicTime now) const;
   // Counts a failure of the backend and returns the backoff that follows it.
-  static Duration NextPause(Backend& backend, Duration first, Duration longest);
+  static Duration NextBackoff(Backend& backend, Duration initial,
+                              Duration maximum);
 
   PoolOptions options_;
   std::mt19937_64 random_;
@@ -322,17 +324,17 @@
   std::size_t routers_ = 1;
   // When the number of routers falls, the old number still divides the retry
   // budget until this time. max() when no decrease is pending.
-  MonotonicTime fewer_routers_from_ = MonotonicTime::max();
+  MonotonicTime budget_routers_decrease_at_ = MonotonicTime::max();
   Backends backends_;
   std::map<std::string, Service> services_;
   std::size_t live_backends_ = 0;
   // Ids of backends that have left the list and still have attempts in flight.
-  std::set<std::string> departed_;
+  std::set<std::string> removed_;
   // The parts of the previous view, for comparison with the next one.
-  decltype(session::FleetView::discovered) known_backends_;
-  decltype(session::FleetView::evacuations) known_evacuations_;
-  routes::RouteTablePointer known_table_;
-  std::uint64_t backends_worked_out_ = 0;
+  decltype(session::FleetView::discovered) applied_backends_;
+  decltype(session::FleetView::evacuations) applied_evacuations_;
+  routes::RouteTablePointer applied_table_;
+  std::uint64_t backends_processed_ = 0;
   std::size_t retired_under_way_ = 0;
   rollout::AnswerTally answer_tally_;
   observation::ObservationLog observation_log_;
--- a/source/common/forwarding/backend_pool_update.cc
+++ b/source/common/forwarding/backend_pool_update.cc
@@ -23,100 +23,100 @@
 
 void BackendPool::Update(const session::FleetView& view, std::size_t routers,
                          MonotonicTime now) {
-  NoteRouters(routers, now);
+  SetRouterCount(routers, now);
   UpdateBackends(view, now);
   UpdateServices(view);
   UpdateColdShares(view);
   UpdateRollouts(view);
-  ForgetServices();
+  EraseUnusedServices();
 }
 
-void BackendPool::NoteRouters(std::size_t routers, MonotonicTime now) {
+void BackendPool::SetRouterCount(std::size_t routers, MonotonicTime now) {
   routers_ = std::max<std::size_t>(1, routers);
   if (routers_ >= options_.extra.routers) {
     options_.extra.routers = routers_;
-    fewer_routers_from_ = MonotonicTime::max();
-  } else if (fewer_routers_from_ == MonotonicTime::max()) {
+    budget_routers_decrease_at_ = MonotonicTime::max();
+  } else if (budget_routers_decrease_at_ == MonotonicTime::max()) {
     // Extra attempts of a router that has left count for one more window.
-    fewer_routers_from_ = now + options_.extra.window;
+    budget_routers_decrease_at_ = now + options_.extra.window;
   }
 }
 
-const ExtraBudgetLimits& BackendPool::ExtraLimits(MonotonicTime now) {
-  if (now >= fewer_routers_from_) {
+const ExtraBudgetLimits& BackendPool::BudgetLimits(MonotonicTime now) {
+  if (now >= budget_routers_decrease_at_) {
     options_.extra.routers = routers_;
-    fewer_routers_from_ = MonotonicTime::max();
+    budget_routers_decrease_at_ = MonotonicTime::max();
   }
   return options_.extra;
 }
 
 void BackendPool::UpdateBackends(const session::FleetView& view,
                                  MonotonicTime now) {
-  const bool evacuations_changed = !(view.evacuations == known_evacuations_);
-  known_evacuations_ = view.evacuations;
-  decltype(known_backends_)::ForEachDifference(
-      known_backends_, view.discovered,
+  const bool evacuations_changed = !(view.evacuations == applied_evacuations_);
+  applied_evacuations_ = view.evacuations;
+  decltype(applied_backends_)::ForEachDifference(
+      applied_backends_, view.discovered,
       [this, now](const std::string& id, const session::DiscoveredBackend*,
                   const session::DiscoveredBackend* after) {
-        ++backends_worked_out_;
+        ++backends_processed_;
         if (after != nullptr) {
-          TakeBackend(id, *after, now);
+          AddOrUpdateBackend(id, *after, now);
         } else {
-          DropBackend(id);
+          RemoveBackend(id);
         }
       });
-  known_backends_ = view.discovered;
+  applied_backends_ = view.discovered;
   if (evacuations_changed) {
-    backends_worked_out_ += backends_.size();
+    backends_processed_ += backends_.size();
     for (auto& [id, backend] : backends_) {
-      if (!departed_.contains(id)) {
+      if (!removed_.contains(id)) {
         SetEvacuated(backend, now);
       }
     }
   }
-  ForgetDeparted();
+  EraseRemovedBackends();
 }
 
-void BackendPool::TakeBackend(const std::string& id,
-                              const session::DiscoveredBackend& info,
-                              MonotonicTime now) {
+void BackendPool::AddOrUpdateBackend(const std::string& id,
+                                     const session::DiscoveredBackend& info,
+                                     MonotonicTime now) {
   Backend& backend = backends_[id];
-  departed_.erase(id);
+  removed_.erase(id);
   const bool is_new_process =
       backend.info.start != WallTime{} && backend.info.start < info.start;
   backend.info = info;
   backend.hash = observation::HashOf(IncarnationName(info));
   SetService(backend, info.service);
-  backend.distance = DistanceOf(info.zone);
+  backend.locality_penalty = LocalityPenalty(info.zone);
   backend.region = RegionOf(info.zone);
   if (is_new_process) {
-    ForgetProcess(backend);
-    backend.taken_for_cold_until = now + backend.service->warmup;
+    ResetObservations(backend);
+    backend.assumed_cold_until = now + backend.service->warmup;
   }
   SetEvacuated(backend, now);
 }
 
 void BackendPool::SetEvacuated(Backend& backend, MonotonicTime now) {
   const bool was_evacuated = backend.evacuated;
-  backend.evacuated = known_evacuations_.contains(backend.info.zone);
+  backend.evacuated = applied_evacuations_.contains(backend.info.zone);
   if (was_evacuated && !backend.evacuated) {
-    backend.taken_for_cold_until = now + backend.service->warmup;
+    backend.assumed_cold_until = now + backend.service->warmup;
   }
   SetRetired(backend, backend.info.draining || backend.evacuated);
 }
 
-void BackendPool::DropBackend(const std::string& id) {
+void BackendPool::RemoveBackend(const std::string& id) {
   SetRetired(backends_.at(id), true);
-  departed_.insert(id);
+  removed_.insert(id);
 }
 
-void BackendPool::ForgetDeparted() {
-  std::erase_if(departed_, [this](const std::string& id) {
+void BackendPool::EraseRemovedBackends() {
+  std::erase_if(removed_, [this](const std::string& id) {
     const auto backend = backends_.find(id);
-    if (!backend->second.under_way.empty()) {
+    if (!backend->second.in_flight.empty()) {
       return false;
     }
-    --backend->second.service->known_backends;
+    --backend->second.service->discovered_backends;
     backends_.erase(backend);
     return true;
   });
@@ -129,10 +129,10 @@
   }
   if (backend.service != nullptr) {
     SetRetired(backend, true);
-    --backend.service->known_backends;
+    --backend.service->discovered_backends;
   }
   backend.service = &service;
-  ++service.known_backends;
+  ++service.discovered_backends;
 }
 
 void BackendPool::SetRetired(Backend& backend, bool retired) {
@@ -149,33 +149,33 @@
   if (retired) {
     backends.erase(place);
     --live_backends_;
-    retired_under_way_ += backend.under_way.size();
+    retired_under_way_ += backend.in_flight.size();
   } else {
     backends.insert(place, &backend);
     ++live_backends_;
-    retired_under_way_ -= backend.under_way.size();
+    retired_under_way_ -= backend.in_flight.size();
   }
 }
 
-void BackendPool::ForgetProcess(Backend& backend) {
+void BackendPool::ResetObservations(Backend& backend) {
   backend.latency = RecentLatency();
   backend.failure_rate = FailureRate();
   backend.connections = ConnectionAllowance();
-  backend.warm.Clear();
+  backend.idle_connections.Clear();
   if (backend.retired) {
-    retired_under_way_ -= backend.under_way.size();
+    retired_under_way_ -= backend.in_flight.size();
   }
-  backend.under_way.clear();
+  backend.in_flight.clear();
   backend.failures = 0;
   backend.ejected_until = MonotonicTime::min();
-  backend.paused_until = MonotonicTime::min();
+  backend.backoff_until = MonotonicTime::min();
 }
 
 void BackendPool::UpdateServices(const session::FleetView& view) {
-  if (view.route_table == known_table_ || !view.route_table) {
+  if (view.route_table == applied_table_ || !view.route_table) {
     return;
   }
-  known_table_ = view.route_table;
+  applied_table_ = view.route_table;
   for (auto& [name, service] : services_) {
     service.maximum_connections = 0;
   }
@@ -228,10 +228,10 @@
   answer_tally_.SetRollouts(numbers);
 }
 
-void BackendPool::ForgetServices() {
+void BackendPool::EraseUnusedServices() {
   std::erase_if(services_, [](const auto& entry) {
     return entry.second.maximum_connections == 0 &&
-           entry.second.known_backends == 0;
+           entry.second.discovered_backends == 0;
   });
 }
 
--- a/source/common/forwarding/cold_allowance.cc
+++ b/source/common/forwarding/cold_allowance.cc
@@ -20,16 +20,16 @@
                       const std::string& backend, double rate) {
   // A router that the others do not know yet would add to their shares.
   const bool known = std::ranges::find(routers, router) != routers.end();
-  const auto drawn = std::min(
+  const auto selected = std::min(
       routers.size(),
       std::max<std::size_t>(1, static_cast<std::size_t>(std::floor(rate))));
-  if (!known || RendezvousRank(router, routers, backend) >= drawn) {
+  if (!known || RendezvousRank(router, routers, backend) >= selected) {
     return {};
   }
-  const double each = rate / static_cast<double>(drawn);
-  const double seconds_each = kWindowSeconds * std::max(1.0, 1 / each);
+  const double per_router = rate / static_cast<double>(selected);
+  const double seconds_each = kWindowSeconds * std::max(1.0, 1 / per_router);
   return {.requests = std::max<std::size_t>(
-              1, static_cast<std::size_t>(std::floor(each))),
+              1, static_cast<std::size_t>(std::floor(per_router))),
           .window = std::chrono::duration_cast<Duration>(
               std::chrono::duration<double>(seconds_each))};
 }
--- a/source/common/forwarding/extra_budget.cc
+++ b/source/common/forwarding/extra_budget.cc
@@ -12,7 +12,8 @@
 
 }  // namespace
 
-void ExtraBudget::Roll(const ExtraBudgetLimits& limits, MonotonicTime now) {
+void ExtraAttemptBudget::AdvanceTo(const ExtraBudgetLimits& limits,
+                                   MonotonicTime now) {
   // The slices span two slices more than the window, because the current slice
   // is incomplete.
   const Duration width = limits.window / static_cast<int>(kSlices - 2);
@@ -24,42 +25,44 @@
   current_ = std::max(current_, slice);
 }
 
-void ExtraBudget::OnRequest(const ExtraBudgetLimits& limits,
-                            MonotonicTime now) {
-  Roll(limits, now);
+void ExtraAttemptBudget::OnRequest(const ExtraBudgetLimits& limits,
+                                   MonotonicTime now) {
+  AdvanceTo(limits, now);
   ++slices_[static_cast<std::size_t>(current_) % kSlices].requests;
 }
 
-ExtraBudget::Use ExtraBudget::UseOf(const ExtraBudgetLimits& limits,
-                                    MonotonicTime now) {
-  Roll(limits, now);
+ExtraAttemptBudget::Usage ExtraAttemptBudget::UsageOf(
+    const ExtraBudgetLimits& limits, MonotonicTime now) {
+  AdvanceTo(limits, now);
   double requests = 0;
-  Use use;
+  Usage usage;
   for (const Slice& slice : slices_) {
     requests += slice.requests;
-    use.taken += slice.extra;
+    usage.taken += slice.extra;
   }
   const double routers =
       static_cast<double>(std::max<std::size_t>(1, limits.routers));
   const double slack = now < limits.slack_from ? 0 : limits.slack / routers;
-  use.allowed = kUsedShare * (limits.ratio * requests + slack);
-  return use;
+  usage.allowed = kUsedShare * (limits.ratio * requests + slack);
+  return usage;
 }
 
-bool ExtraBudget::TryTake(const ExtraBudgetLimits& limits, MonotonicTime now) {
-  const Use use = UseOf(limits, now);
-  if (use.taken + 1 > use.allowed) {
+bool ExtraAttemptBudget::TryTake(const ExtraBudgetLimits& limits,
+                                 MonotonicTime now) {
+  const Usage usage = UsageOf(limits, now);
+  if (usage.taken + 1 > usage.allowed) {
     return false;
   }
   ++slices_[static_cast<std::size_t>(current_) % kSlices].extra;
   return true;
 }
 
-double ExtraBudget::LeftShare(const ExtraBudgetLimits& limits,
-                              MonotonicTime now) {
-  const Use use = UseOf(limits, now);
-  return use.allowed <= 0 ? 0
-                          : std::clamp(1 - use.taken / use.allowed, 0.0, 1.0);
+double ExtraAttemptBudget::RemainingShare(const ExtraBudgetLimits& limits,
+                                          MonotonicTime now) {
+  const Usage usage = UsageOf(limits, now);
+  return usage.allowed <= 0
+             ? 0
+             : std::clamp(1 - usage.taken / usage.allowed, 0.0, 1.0);
 }
 
 }  // namespace juniperway::forwarding
--- a/source/common/forwarding/extra_budget.h
+++ b/source/common/forwarding/extra_budget.h
@@ -28,7 +28,7 @@
 };
 
 // Counts requests and extra attempts of one router at one service.
-class ExtraBudget {
+class ExtraAttemptBudget {
  public:
   // Counts a request that came from a client.
   void OnRequest(const ExtraBudgetLimits& limits, MonotonicTime now);
@@ -38,7 +38,7 @@
 
   // Remaining share of the extra attempts that are allowed in the window, 0 to
   // 1.
-  double LeftShare(const ExtraBudgetLimits& limits, MonotonicTime now);
+  double RemainingShare(const ExtraBudgetLimits& limits, MonotonicTime now);
 
  private:
   // The counts of a window are kept in this many slices. The oldest slice
@@ -51,12 +51,12 @@
   };
 
   // Allowed and sent extra attempts in the window.
-  struct Use {
+  struct Usage {
     double allowed = 0;
     double taken = 0;
   };
-  Use UseOf(const ExtraBudgetLimits& limits, MonotonicTime now);
-  void Roll(const ExtraBudgetLimits& limits, MonotonicTime now);
+  Usage UsageOf(const ExtraBudgetLimits& limits, MonotonicTime now);
+  void AdvanceTo(const ExtraBudgetLimits& limits, MonotonicTime now);
 
   std::array<Slice, kSlices> slices_{};
   // Index of the slice that contains the current time, counted from time zero
--- a/source/common/forwarding/failure_rate.cc
+++ b/source/common/forwarding/failure_rate.cc
@@ -4,21 +4,21 @@
 
 namespace juniperway::forwarding {
 
-double FailureRate::FadeTo(MonotonicTime now) const {
+double FailureRate::DecayFactor(MonotonicTime now) const {
   const std::chrono::duration<double> passed = now - last_;
-  return std::exp(-passed / std::chrono::duration<double>(kMemory));
+  return std::exp(-passed / std::chrono::duration<double>(kDecayTime));
 }
 
 void FailureRate::Record(bool failed, MonotonicTime now) {
-  const double left = FadeTo(now);
-  failed_ = failed_ * left + (failed ? 1 : 0);
-  ended_ = ended_ * left + 1;
+  const double factor = DecayFactor(now);
+  failed_ = failed_ * factor + (failed ? 1 : 0);
+  ended_ = ended_ * factor + 1;
   last_ = now;
 }
 
 double FailureRate::Get(MonotonicTime now) const {
-  const double left = FadeTo(now);
-  return failed_ * left / (ended_ * left + 1);
+  const double factor = DecayFactor(now);
+  return failed_ * factor / (ended_ * factor + 1);
 }
 
 }  // namespace juniperway::forwarding
--- a/source/common/forwarding/failure_rate.h
+++ b/source/common/forwarding/failure_rate.h
@@ -16,7 +16,7 @@
  public:
   // Time constant of the exponential decay. It spans several requests of a
   // router that sends two per second to a backend.
-  static constexpr Duration kMemory = seconds(8);
+  static constexpr Duration kDecayTime = seconds(8);
 
   void Record(bool failed, MonotonicTime now);
 
@@ -25,10 +25,12 @@
   double Get(MonotonicTime now) const;
 
   // Decayed number of attempts that the rate is based on.
-  double Attempts(MonotonicTime now) const { return ended_ * FadeTo(now); }
+  double DecayedAttempts(MonotonicTime now) const {
+    return ended_ * DecayFactor(now);
+  }
 
  private:
-  double FadeTo(MonotonicTime now) const;
+  double DecayFactor(MonotonicTime now) const;
 
   MonotonicTime last_{};
   double failed_ = 0;
--- a/source/common/forwarding/recent_latency.cc
+++ b/source/common/forwarding/recent_latency.cc
@@ -16,14 +16,14 @@
 
 Duration RecentLatency::Median(MonotonicTime now, Duration assumed) const {
   const Sample& oldest = samples_.at(next_);
-  const bool often =
-      oldest.taken != MonotonicTime::min() && now - oldest.taken <= kOften;
-  const std::size_t count = often ? kSamples : kRareSamples;
+  const bool frequent = oldest.taken != MonotonicTime::min() &&
+                        now - oldest.taken <= kFrequentWindow;
+  const std::size_t count = frequent ? kSamples : kInfrequentSamples;
   std::array<Duration, kSamples> latencies{};
   for (std::size_t age = 0; age < count; ++age) {
     const Sample& sample = samples_.at((next_ + kSamples - 1 - age) % kSamples);
-    const bool counts =
-        sample.taken != MonotonicTime::min() && now - sample.taken <= kMemory;
+    const bool counts = sample.taken != MonotonicTime::min() &&
+                        now - sample.taken <= kSampleTimeToLive;
     latencies.at(age) = counts ? sample.latency : assumed;
   }
   const auto middle =
--- a/source/common/forwarding/recent_latency.h
+++ b/source/common/forwarding/recent_latency.h
@@ -19,10 +19,10 @@
   static constexpr std::size_t kSamples = 5;
   // Number of samples used unless the last kSamples were taken within
   // kFrequentWindow.
-  static constexpr std::size_t kRareSamples = 3;
-  static constexpr Duration kOften = milliseconds(1500);
+  static constexpr std::size_t kInfrequentSamples = 3;
+  static constexpr Duration kFrequentWindow = milliseconds(1500);
   // A sample expires after this time, and `assumed` replaces it.
-  static constexpr Duration kMemory = seconds(8);
+  static constexpr Duration kSampleTimeToLive = seconds(8);
 
   // Adds a sample. Ignores an attempt that was sent before the last sample was
   // taken, so that all attempts in flight during one pause give one sample.
--- a/source/common/forwarding/split_chooser.cc
+++ b/source/common/forwarding/split_chooser.cc
@@ -13,18 +13,19 @@
   State& state = states_[route.name];
   if (state.parts != parts) {
     state.parts = parts;
-    state.owed.assign(parts.size(), 0);
+    state.deficits.assign(parts.size(), 0);
   }
   double total = 0;
   for (const auto& part : parts) {
     total += part.weight;
   }
   for (std::size_t i = 0; i < parts.size(); ++i) {
-    state.owed[i] += parts[i].weight / total;
+    state.deficits[i] += parts[i].weight / total;
   }
-  const auto most = std::ranges::max_element(state.owed);
-  *most -= 1;
-  return parts[static_cast<std::size_t>(most - state.owed.begin())].service;
+  const auto largest = std::ranges::max_element(state.deficits);
+  *largest -= 1;
+  return parts[static_cast<std::size_t>(largest - state.deficits.begin())]
+      .service;
 }
 
 }  // namespace juniperway::forwarding
--- a/source/common/forwarding/split_chooser.h
+++ b/source/common/forwarding/split_chooser.h
@@ -22,7 +22,7 @@
   struct State {
     std::vector<routes::WeightedService> parts;
     // For each service, the number of requests that it is below its share.
-    std::vector<double> owed;
+    std::vector<double> deficits;
   };
 
   // State of each split route, by route name.
--- a/source/common/forwarding/usual_deadline.cc
+++ b/source/common/forwarding/usual_deadline.cc
@@ -6,15 +6,15 @@
 
 Duration UsualDeadline::ElapsedBefore(Duration allowed, MonotonicTime now) {
   // The first request starts the first window.
-  const bool over =
-      period_began_ == MonotonicTime::min() || now - period_began_ >= kPeriod;
-  if (over) {
-    longest_before_ = longest_;
-    longest_ = Duration(0);
-    period_began_ = now;
+  const bool window_ended =
+      window_start_ == MonotonicTime::min() || now - window_start_ >= kWindow;
+  if (window_ended) {
+    previous_maximum_ = maximum_;
+    maximum_ = Duration(0);
+    window_start_ = now;
   }
-  longest_ = std::max(longest_, allowed);
-  return std::max(longest_, longest_before_) - allowed;
+  maximum_ = std::max(maximum_, allowed);
+  return std::max(maximum_, previous_maximum_) - allowed;
 }
 
 }  // namespace juniperway::forwarding
--- a/source/common/forwarding/usual_deadline.h
+++ b/source/common/forwarding/usual_deadline.h
@@ -15,7 +15,7 @@
   // A timeout counts for one to two of these windows. Settings of clients
   // change, and a single long timeout must not make all later requests count as
   // retries.
-  static constexpr Duration kPeriod = seconds(10);
+  static constexpr Duration kWindow = seconds(10);
 
   // @param allowed the timeout that a request came with.
   // @return the estimated time between the first request of the client and
@@ -23,9 +23,9 @@
   Duration ElapsedBefore(Duration allowed, MonotonicTime now);
 
  private:
-  MonotonicTime period_began_ = MonotonicTime::min();
-  Duration longest_{};
-  Duration longest_before_{};
+  MonotonicTime window_start_ = MonotonicTime::min();
+  Duration maximum_{};
+  Duration previous_maximum_{};
 };
 
 }  // namespace juniperway::forwarding
--- a/source/common/forwarding/usual_latency.cc
+++ b/source/common/forwarding/usual_latency.cc
@@ -6,13 +6,13 @@
 namespace {
 
 // Lower bound of the estimate. An estimate of zero could not grow by a ratio.
-constexpr Duration kShortest = microseconds(100);
+constexpr Duration kMinimumEstimate = microseconds(100);
 
 }  // namespace
 
-void UsualLatency::Record(Duration latency) {
+void TypicalLatency::Record(Duration latency) {
   if (!estimate_) {
-    estimate_ = std::max(latency, kShortest);
+    estimate_ = std::max(latency, kMinimumEstimate);
     return;
   }
   const double ratio = latency > *estimate_
@@ -20,7 +20,7 @@
                            : 1 - kRelativeStep * (1 - kQuantile);
   const Duration moved(static_cast<Duration::rep>(
       static_cast<double>(estimate_->count()) * ratio));
-  estimate_ = std::max(moved, kShortest);
+  estimate_ = std::max(moved, kMinimumEstimate);
 }
 
 }  // namespace juniperway::forwarding
--- a/source/common/forwarding/usual_latency.h
+++ b/source/common/forwarding/usual_latency.h
@@ -12,7 +12,7 @@
 // A streaming quantile that moves by a fixed ratio at each sample (Ma,
 // Muthukrishnan and Sandler, "Frugal Streaming for Estimating Quantiles", 2013,
 // with steps relative to the estimate).
-class UsualLatency {
+class TypicalLatency {
  public:
   // The quantile is low so that backends that are slow for a while, and still
   // get requests, do not raise the estimate for the other backends of their
--- a/source/common/forwarding/warm_connections.cc
+++ b/source/common/forwarding/warm_connections.cc
@@ -2,11 +2,12 @@
 
 namespace juniperway::forwarding {
 
-void WarmConnections::OnSent(MonotonicTime now) {
-  std::erase_if(unused_since_,
-                [&](MonotonicTime since) { return now - since >= kept_; });
-  if (!unused_since_.empty()) {
-    unused_since_.erase(unused_since_.begin());
+void IdleConnections::OnSent(MonotonicTime now) {
+  std::erase_if(idle_since_, [&](MonotonicTime since) {
+    return now - since >= idle_timeout_;
+  });
+  if (!idle_since_.empty()) {
+    idle_since_.erase(idle_since_.begin());
   }
 }
 
--- a/source/common/forwarding/warm_connections.h
+++ b/source/common/forwarding/warm_connections.h
@@ -11,30 +11,31 @@
 namespace juniperway::forwarding {
 
 // Idle connections of one router to one backend.
-class WarmConnections {
+class IdleConnections {
  public:
   // @param idle_timeout how long an unused connection stays open.
-  explicit WarmConnections(Duration kept) : kept_(kept) {}
+  explicit IdleConnections(Duration idle_timeout)
+      : idle_timeout_(idle_timeout) {}
 
   // Records that an attempt was sent: it uses an idle connection or opens a new
   // one.
   void OnSent(MonotonicTime now);
   // Records that an attempt ended with a complete answer: its connection is
   // idle now.
-  void OnAnswered(MonotonicTime now) { unused_since_.push_back(now); }
+  void OnAnswered(MonotonicTime now) { idle_since_.push_back(now); }
   // Records that all connections are closed.
-  void Clear() { unused_since_.clear(); }
+  void Clear() { idle_since_.clear(); }
 
   bool IsAnyOpen(MonotonicTime now) const {
-    return !unused_since_.empty() && now - unused_since_.back() < kept_;
+    return !idle_since_.empty() && now - idle_since_.back() < idle_timeout_;
   }
 
  private:
-  Duration kept_;
+  Duration idle_timeout_;
   // Start of the idle time of each connection, the oldest first. Not a
   // std::deque: an empty one takes 0.6 KB, and a router keeps one
   // IdleConnections for each backend.
-  std::vector<MonotonicTime> unused_since_;
+  std::vector<MonotonicTime> idle_since_;
 };
 
 }  // namespace juniperway::forwarding
--- a/test/unit/forwarding/backend_pool_update_test.cc
+++ b/test/unit/forwarding/backend_pool_update_test.cc
@@ -39,9 +39,9 @@
 
   // @return back ends that were worked out anew.
   std::uint64_t Update() {
-    const std::uint64_t before = pool.backends_worked_out();
+    const std::uint64_t before = pool.backends_processed();
     pool.Update(view, 985, now);
-    return pool.backends_worked_out() - before;
+    return pool.backends_processed() - before;
   }
 
   const BackendPool::Backend* Choose(int service) {
--- a/test/unit/forwarding/extra_budget_test.cc
+++ b/test/unit/forwarding/extra_budget_test.cc
@@ -14,7 +14,7 @@
     .ratio = 0.2, .slack = 60, .window = seconds(10), .routers = 6};
 
 TEST_CASE("without requests only the router's share of the slack is there") {
-  ExtraBudget budget;
+  ExtraAttemptBudget budget;
   int taken = 0;
   while (budget.TryTake(kLimits, MonotonicTime(seconds(100)))) {
     ++taken;
@@ -24,7 +24,7 @@
 }
 
 TEST_CASE("what was taken comes back after a window") {
-  ExtraBudget budget;
+  ExtraAttemptBudget budget;
   MonotonicTime now(seconds(100));
   while (budget.TryTake(kLimits, now)) {
   }
@@ -39,7 +39,7 @@
   };
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     std::mt19937_64 random(seed);
-    ExtraBudget budget;
+    ExtraAttemptBudget budget;
     std::deque<Event> window;
     double requests = 0;
     double extra = 0;
@@ -66,24 +66,24 @@
 }
 
 TEST_CASE("what is left falls as it is taken") {
-  ExtraBudget budget;
+  ExtraAttemptBudget budget;
   const MonotonicTime now(seconds(100));
-  CHECK(budget.LeftShare(kLimits, now) == 1);
+  CHECK(budget.RemainingShare(kLimits, now) == 1);
   double left = 1;
   while (budget.TryTake(kLimits, now)) {
-    CHECK(budget.LeftShare(kLimits, now) < left);
-    left = budget.LeftShare(kLimits, now);
+    CHECK(budget.RemainingShare(kLimits, now) < left);
+    left = budget.RemainingShare(kLimits, now);
   }
   CHECK(left < 0.2);
   ExtraBudgetLimits none = kLimits;
   none.slack = 0;
-  CHECK(ExtraBudget().LeftShare(none, now) == 0);
+  CHECK(ExtraAttemptBudget().RemainingShare(none, now) == 0);
 }
 
 TEST_CASE("a router that has just started has no part of the slack") {
   ExtraBudgetLimits limits = kLimits;
   limits.slack_from = MonotonicTime(seconds(110));
-  ExtraBudget budget;
+  ExtraAttemptBudget budget;
   CHECK_FALSE(budget.TryTake(limits, MonotonicTime(seconds(109))));
   // What its own requests allow is there.
   for (int i = 0; i < 20; ++i) {
--- a/test/unit/forwarding/failure_rate_test.cc
+++ b/test/unit/forwarding/failure_rate_test.cc
@@ -17,7 +17,7 @@
   }
   CHECK(rate.Get(now) == doctest::Approx(1.0 / 11));
   const double before = rate.Get(now);
-  now += 5 * FailureRate::kMemory;
+  now += 5 * FailureRate::kDecayTime;
   CHECK(rate.Get(now) < before / 10);
 }
 
--- a/test/unit/forwarding/recent_latency_test.cc
+++ b/test/unit/forwarding/recent_latency_test.cc
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr Duration kInitial = milliseconds(20);
-constexpr Duration kUsual = milliseconds(28);
+constexpr Duration kTypical = milliseconds(28);
 constexpr Duration kSlow = milliseconds(300);
 const MonotonicTime kStart(seconds(100));
 
@@ -27,13 +27,13 @@
 
 TEST_CASE("one pause, or two, does not make a back end slow") {
   RecentLatency latency;
-  const MonotonicTime usual = RecordInTurn(latency, kUsual, 5, kStart);
-  const MonotonicTime end = RecordInTurn(latency, kSlow, 2, usual);
-  CHECK(latency.Median(end, kInitial) == kUsual);
+  const MonotonicTime typical = RecordInTurn(latency, kTypical, 5, kStart);
+  const MonotonicTime end = RecordInTurn(latency, kSlow, 2, typical);
+  CHECK(latency.Median(end, kInitial) == kTypical);
 }
 
 TEST_CASE("where answers are rare two of three decide") {
-  // Too far apart for five to come within RecentLatency::kOften.
+  // Too far apart for five to come within RecentLatency::kFrequentWindow.
   constexpr Duration kInterval = milliseconds(500);
   RecentLatency latency;
   MonotonicTime now = kStart;
@@ -42,27 +42,27 @@
     now += kInterval;
   };
   for (int i = 0; i < 4; ++i) {
-    record(kUsual);
+    record(kTypical);
   }
   record(kSlow);
-  CHECK(latency.Median(now, kInitial) == kUsual);
+  CHECK(latency.Median(now, kInitial) == kTypical);
   record(kSlow);
   CHECK(latency.Median(now, kInitial) == kSlow);
 }
 
 TEST_CASE("all that are under way in a pause count as one") {
   RecentLatency latency;
-  const MonotonicTime usual = RecordInTurn(latency, kUsual, 5, kStart);
+  const MonotonicTime typical = RecordInTurn(latency, kTypical, 5, kStart);
   for (int i = 0; i < 5; ++i) {
-    latency.Record(kSlow, usual + milliseconds(i), usual + kSlow);
+    latency.Record(kSlow, typical + milliseconds(i), typical + kSlow);
   }
-  CHECK(latency.Median(usual + kSlow, kInitial) == kUsual);
+  CHECK(latency.Median(typical + kSlow, kInitial) == kTypical);
 }
 
 TEST_CASE("a back end that stays slow shows after three answers") {
   RecentLatency latency;
-  const MonotonicTime usual = RecordInTurn(latency, kUsual, 5, kStart);
-  const MonotonicTime end = RecordInTurn(latency, kSlow, 3, usual);
+  const MonotonicTime typical = RecordInTurn(latency, kTypical, 5, kStart);
+  const MonotonicTime end = RecordInTurn(latency, kSlow, 3, typical);
   CHECK(latency.Median(end, kInitial) == kSlow);
 }
 
@@ -70,7 +70,8 @@
   RecentLatency latency;
   const MonotonicTime end = RecordInTurn(latency, kSlow, 3, kStart);
   CHECK(latency.Median(end, kInitial) == kSlow);
-  CHECK(latency.Median(end + RecentLatency::kMemory, kInitial) == kInitial);
+  CHECK(latency.Median(end + RecentLatency::kSampleTimeToLive, kInitial) ==
+        kInitial);
 }
 
 }  // namespace
--- a/test/unit/forwarding/warm_connections_test.cc
+++ b/test/unit/forwarding/warm_connections_test.cc
@@ -12,7 +12,7 @@
 
 TEST_CASE("an attempt takes an unused connection and leaves it after") {
   const MonotonicTime now{seconds(100)};
-  WarmConnections warm(seconds(20));
+  IdleConnections warm(seconds(20));
   CHECK_FALSE(warm.IsAnyOpen(now));
   warm.OnSent(now);
   warm.OnAnswered(now);
