--- a/test/unit/forwarding/adaptive_throttle_test.cc
+++ b/test/unit/forwarding/adaptive_throttle_test.cc
@@ -1,4 +1,5 @@
-// Which share of requests is admitted while back ends cannot keep up.
+// The share of requests that AdaptiveThrottle admits while backends are
+// overloaded.
 #include "common/forwarding/adaptive_throttle.h"
 
 #include <doctest/doctest.h>
@@ -20,30 +21,30 @@
   }
 };
 
-// Offers requests, `per_second` of them evenly, to back ends that take the part
-// `capacity` of these and turn away what is admitted beyond it.
+// Offers `per_second` evenly spaced requests to backends that accept the share
+// `capacity` of them and shed what is admitted beyond it.
 Count Offer(AdaptiveThrottle& throttle, MonotonicTime& now, Duration length,
             int per_second, double capacity) {
   Count count;
-  double room = 0;
+  double tokens = 0;
   const MonotonicTime end = now + length;
   while (now < end) {
     now += Duration(seconds(1)) / per_second;
-    room = std::min(1.0 + capacity, room + capacity);
+    tokens = std::min(1.0 + capacity, tokens + capacity);
     ++count.offered;
     if (!throttle.Admit(now)) {
       continue;
     }
     ++count.admitted;
-    const bool accepted = room >= 1;
-    room -= accepted ? 1 : 0;
+    const bool accepted = tokens >= 1;
+    tokens -= accepted ? 1 : 0;
     count.accepted += accepted ? 1 : 0;
     throttle.OnEnded(!accepted, now);
   }
   return count;
 }
 
-TEST_CASE("everything is admitted while nothing is turned away") {
+TEST_CASE("all requests are admitted while none is shed") {
   AdaptiveThrottle throttle(kSeed);
   MonotonicTime now(seconds(100));
   const Count count = Offer(throttle, now, seconds(20), 100, /*capacity=*/1);
@@ -51,7 +52,7 @@
   CHECK(throttle.admitted_share() == 1);
 }
 
-TEST_CASE("one request that was turned away does not close the route") {
+TEST_CASE("a single shed request does not lower the admitted share") {
   AdaptiveThrottle throttle(kSeed);
   const MonotonicTime now(seconds(100));
   throttle.OnEnded(false, now);
@@ -62,7 +63,7 @@
   CHECK(throttle.admitted_share() <= 0.5);
 }
 
-TEST_CASE("under overload about what is accepted is admitted, not all") {
+TEST_CASE("under overload the admitted share is near the capacity") {
   for (const int per_second : {2, 20, 200}) {
     CAPTURE(per_second);
     AdaptiveThrottle throttle(kSeed);
@@ -70,16 +71,15 @@
     Offer(throttle, now, seconds(5), per_second, /*capacity=*/0.4);
     const Count count =
         Offer(throttle, now, seconds(200), per_second, /*capacity=*/0.4);
-    // Routers with few requests follow less closely.
+    // Routers with few requests follow the capacity less closely.
     CHECK(count.admitted_share() < 0.9);
     CHECK(count.admitted_share() > 0.3);
-    // Most of what there is room for is used.
+    // The backends use most of their capacity.
     CHECK(count.accepted > 0.7 * 0.4 * count.offered);
   }
 }
 
-TEST_CASE(
-    "once there is room again everything is admitted within two seconds") {
+TEST_CASE("all requests are admitted soon after the capacity is back") {
   for (const int per_second : {2, 200}) {
     CAPTURE(per_second);
     AdaptiveThrottle throttle(kSeed);
@@ -93,7 +93,7 @@
   }
 }
 
-TEST_CASE("what was seen is forgotten while nothing is offered") {
+TEST_CASE("the admitted share recovers while no requests are offered") {
   AdaptiveThrottle throttle(kSeed);
   MonotonicTime now(seconds(100));
   Offer(throttle, now, seconds(10), 200, /*capacity=*/0);
--- a/test/unit/forwarding/backend_pool_test.cc
+++ b/test/unit/forwarding/backend_pool_test.cc
@@ -1,4 +1,4 @@
-// Which back end gets the next request.
+// Which backend BackendPool chooses for an attempt.
 #include "common/forwarding/backend_pool.h"
 
 #include <doctest/doctest.h>
@@ -66,7 +66,7 @@
   MonotonicTime now{seconds(100)};
 };
 
-TEST_CASE("the nearest back end is taken while it answers as well") {
+TEST_CASE("the pool chooses the nearest backend while latencies are similar") {
   Pool pool;
   CHECK(pool.Choose() == "1");
   CHECK(pool.Choose({"1"}) == "2");
@@ -74,7 +74,7 @@
   CHECK(pool.Choose({"1", "2", "3"}) == "");
 }
 
-TEST_CASE("a slow back end is left and tried again later") {
+TEST_CASE("the pool avoids a slow backend and uses it again later") {
   Pool pool;
   for (int i = 0; i < 10; ++i) {
     pool.Run("1", milliseconds(20));
@@ -87,17 +87,17 @@
   CHECK(pool.Choose() == "1");
 }
 
-TEST_CASE("a back end not yet asked is taken for one of its service") {
-  // Many times the latency that is assumed of a service without answers.
-  constexpr Duration kUsual = milliseconds(220);
+TEST_CASE("an unused backend has the typical latency of its service") {
+  // Many times the latency that the pool assumes of a service without answers.
+  constexpr Duration kTypicalLatency = milliseconds(220);
   Pool pool;
   for (int i = 0; i < 10; ++i) {
-    pool.Run("1", kUsual);
+    pool.Run("1", kTypicalLatency);
   }
   CHECK(pool.Choose() == "1");
 }
 
-TEST_CASE("a back end that turns slow is left for one not yet asked") {
+TEST_CASE("the pool replaces a backend that turns slow by an unused one") {
   Pool pool;
   for (int i = 0; i < 100; ++i) {
     pool.Run("1", milliseconds(28));
@@ -108,19 +108,19 @@
   CHECK(pool.Choose() == "2");
 }
 
-TEST_CASE("a back end that stands still is left before it answers") {
+TEST_CASE("the pool avoids a paused backend before it answers") {
   Pool pool;
   pool.pool.OnSent("1", 77, pool.now);
   pool.now += milliseconds(150);
   CHECK(pool.Choose() == "2");
 }
 
-TEST_CASE("failures eject, and one attempt shows whether it is well again") {
+TEST_CASE("failures eject, and one attempt at a time tests for recovery") {
   Pool pool;
   pool.Run("1", milliseconds(5), AttemptResult::kBroken);
   CHECK(pool.Choose() == "2");
   pool.now += seconds(1);
-  // It is not ejected any more, but one that has not failed goes first.
+  // The ejection has ended, but the pool prefers a backend that has not failed.
   CHECK(pool.Choose() == "2");
   pool.Run("2", milliseconds(5), AttemptResult::kBroken);
   CHECK(pool.Choose({"3"}) == "1");
@@ -131,7 +131,7 @@
   CHECK(pool.Choose({"3"}) == "1");
 }
 
-TEST_CASE("where every back end failed, all are tried") {
+TEST_CASE("when all backends have failed, all are candidates") {
   Pool pool;
   for (const char* id : {"1", "2", "3"}) {
     pool.Run(id, milliseconds(1), AttemptResult::kUnsent);
@@ -141,7 +141,8 @@
 }
 
 TEST_CASE(
-    "a back end that shed a request is left alone, whatever the others do") {
+    "a backend that shed a request gets none during its backoff, even when all "
+    "have shed") {
   Pool pool;
   for (const char* id : {"1", "2", "3"}) {
     pool.Run(id, milliseconds(1), AttemptResult::kShed);
@@ -152,7 +153,7 @@
   CHECK(pool.Choose() == "1");
 }
 
-TEST_CASE("a draining back end and one that left get nothing more") {
+TEST_CASE("a draining backend and a removed one get no new requests") {
   Pool pool;
   pool.view.discovered["1"].draining = true;
   pool.pool.Update(pool.view, 4, pool.now);
@@ -163,15 +164,15 @@
   CHECK(pool.pool.live_backends() == 1);
 }
 
-TEST_CASE("routers share a back end's connections") {
+TEST_CASE("routers share the connections of a backend") {
   Pool pool;
-  // As many as its share allows are used only once it has answered often.
+  // A router uses its whole share only after many answers.
   for (int i = 0; i < 1000; ++i) {
     pool.Run("1", milliseconds(1));
   }
   pool.routers = 10;
   pool.pool.Update(pool.view, 10, pool.now);
-  // 0.9 x 40 connections among 10 routers.
+  // The share is 0.9 x 40 connections / 10 routers.
   for (AttemptId attempt = 1; attempt <= 3; ++attempt) {
     CHECK(pool.Choose({"2", "3"}) == "1");
     pool.pool.OnSent("1", attempt, pool.now);
@@ -179,7 +180,7 @@
   CHECK(pool.Choose({"2", "3"}) == "");
 }
 
-TEST_CASE("a service is busy while its back ends are expected back soon") {
+TEST_CASE("a service is busy while a backend is expected to be usable soon") {
   Pool pool;
   const std::vector<std::string> others = {"2", "3"};
   CHECK(pool.AvailabilityNow(others) == Availability::kUsable);
@@ -196,7 +197,7 @@
     pool.now += seconds(1);
     CHECK(pool.AvailabilityNow(others) == Availability::kNone);
   }
-  SUBCASE("leaving") {
+  SUBCASE("draining") {
     pool.view.discovered["1"].draining = true;
     pool.pool.Update(pool.view, pool.routers, pool.now);
     CHECK(pool.AvailabilityNow(others) == Availability::kNone);
@@ -207,13 +208,13 @@
   }
 }
 
-TEST_CASE("a back end that refuses connections pauses, then counts as down") {
+TEST_CASE("a backend that refuses connections gets a backoff, then is down") {
   for (const auto result : {AttemptResult::kRefused, AttemptResult::kReset}) {
     Pool pool;
     pool.Run("1", milliseconds(1), result);
     CHECK(pool.Choose({"2", "3"}) == "");
     CHECK(pool.AvailabilityNow({"2", "3"}) == Availability::kBusy);
-    // Much earlier than after a failure of another kind.
+    // The backoff is much shorter than an ejection after another failure.
     pool.now += milliseconds(40);
     CHECK(pool.Choose({"2", "3"}) == "1");
     for (int i = 0; i < 4; ++i) {
@@ -222,14 +223,14 @@
     CHECK(pool.AvailabilityNow({"2", "3"}) == Availability::kNone);
     pool.now += seconds(2);
     CHECK(pool.Choose({"2", "3"}) == "1");
-    // Others go first until that is forgotten.
+    // Backends without failures are preferred until the failures have decayed.
     CHECK(pool.Choose() == "2");
     pool.now += seconds(60);
     CHECK(pool.Choose() == "1");
   }
 }
 
-TEST_CASE("connections to one back end grow with its answers") {
+TEST_CASE("the connections to a backend grow with its answers") {
   Pool pool;
   pool.pool.OnSent("1", 88, pool.now);
   CHECK(pool.Choose({"2", "3"}) == "");
@@ -247,15 +248,16 @@
   };
   const std::size_t before = open();
   CHECK(before > 2);
-  // 0.9 of 40 connections for four routers.
+  // The share is 0.9 x 40 connections / 4 routers.
   CHECK(before <= 9);
 }
 
-// One request: asks another back end while one sheds and the budget lasts.
-// @param sheds whether this back end sheds this time.
-// @return false when nobody answered.
+// Runs one request: sends it to another backend after each shed attempt while
+// the budget lasts.
+// @param sheds whether this backend sheds this attempt.
+// @return false when no backend answered.
 template <typename Sheds>
-bool Ask(Pool& pool, Sheds sheds) {
+bool RunRequest(Pool& pool, Sheds sheds) {
   pool.pool.OnFirstRequest("s", pool.now);
   std::vector<std::string> tried;
   while (tried.empty() || pool.pool.TakeExtra("s", pool.now)) {
@@ -273,10 +275,12 @@
   return false;
 }
 
-// What callers get of a service while two of its three back ends shed three of
-// five requests: 64 routers share 110 requests a second, so that each asks it
-// less than twice a second, as seldom as pauses are long.
-TEST_CASE("what sheds is left for one far away while the budget is short") {
+// Measures the failed requests of a service while two of its three backends
+// shed three of five requests. 64 routers share 110 requests per second, so
+// that each of them sends less than two per second, about as rarely as backoffs
+// end.
+TEST_CASE(
+    "the pool prefers a distant backend to near ones that shed requests") {
   Pool pool;
   pool.routers = 64;
   pool.Add(Backend("1", "here"));
@@ -286,19 +290,19 @@
   for (int i = 0; i < 2 * kRequests; ++i) {
     pool.now += milliseconds(560);
     const bool shedding = i >= kRequests;
-    const bool answered = Ask(pool, [&](const std::string& backend) {
+    const bool answered = RunRequest(pool, [&](const std::string& backend) {
       return shedding && backend != "3" && random() % 5 < 3;
     });
     failed += answered ? 0 : 1;
   }
-  // 51 of 100 where failures cost nothing.
+  // Without a cost for failures 51 of 100 requests fail.
   CHECK(failed <= 3);
-  // The near ones are tried again once that may have changed.
+  // The pool uses the near backends again once the failures have decayed.
   pool.now += seconds(60);
   CHECK(pool.Choose() == "1");
 }
 
-TEST_CASE("routers that are gone share the budget for a window more") {
+TEST_CASE("removed routers share the budget for one more window") {
   const auto extra_after = [](Duration passed) {
     Pool pool;
     pool.pool.Update(pool.view, 10, pool.now);
@@ -310,21 +314,21 @@
     }
     return taken;
   };
-  // Slack 10 of 10 routers, then of 1.
+  // A slack of 10 divided by 10 routers, then by 1.
   CHECK(extra_after(seconds(1)) == 0);
   CHECK(extra_after(seconds(11)) == 9);
 }
 
-// The back end of this id, started at this second.
+// Returns the backend of this id, started at this second.
 session::DiscoveredBackend Started(const std::string& id, int second) {
   session::DiscoveredBackend backend = Backend(id, "here");
   backend.start = WallTime(seconds(second));
   return backend;
 }
 
-TEST_CASE("what was seen of a back end ends with its process") {
-  // The failures of the process before, and an attempt that it never ended,
-  // would keep the new one without work for up to three seconds.
+TEST_CASE("a new process of a backend starts without observations") {
+  // The failures of the old process, and an attempt that it never ended, would
+  // keep the new one without requests for up to three seconds.
   Pool pool;
   pool.Add(Started("1", 10));
   for (int i = 0; i < 5; ++i) {
@@ -335,13 +339,13 @@
   pool.Add(Started("1", 60));
   CHECK(pool.Choose() == "1");
 
-  // The end of the old attempt comes late, and says nothing about the new
-  // process.
+  // The attempt at the old process ends late and must not count against the new
+  // one.
   pool.pool.OnEnded("1", /*attempt=*/999, AttemptResult::kBroken, pool.now);
   CHECK(pool.Choose() == "1");
 }
 
-TEST_CASE("a start that is not known or goes back is no new process") {
+TEST_CASE("an unknown or earlier start time is not a new process") {
   Pool pool;
   pool.Add(Started("1", 60));
   for (int i = 0; i < 5; ++i) {
--- a/test/unit/forwarding/backend_pool_update_test.cc
+++ b/test/unit/forwarding/backend_pool_update_test.cc
@@ -1,5 +1,5 @@
-// What a view costs the pool: the back ends that differ, not all that there
-// are. Counted, for fleets of one and ten thousand back ends.
+// A new view costs the pool work for the backends that differ, not for all of
+// them. Checked by counting, for fleets of 1000 and 10,000 backends.
 #include <doctest/doctest.h>
 #include <malloc.h>
 
@@ -14,7 +14,7 @@
 
 constexpr int kServices = 90;
 const routes::HomeRegions kAnywhere;
-const std::vector<std::string> kNoneTried;
+const std::vector<std::string> kNoBackendsTried;
 
 std::string ServiceName(int number) {
   return "s" + std::to_string(number % kServices);
@@ -37,7 +37,7 @@
     Update();
   }
 
-  // @return back ends that were worked out anew.
+  // @return number of backends that the pool processed.
   std::uint64_t Update() {
     const std::uint64_t before = pool.backends_processed();
     pool.Update(view, 985, now);
@@ -47,7 +47,7 @@
   const BackendPool::Backend* Choose(int service) {
     return pool.Choose({.service = ServiceName(service),
                         .home_regions = kAnywhere,
-                        .tried = kNoneTried},
+                        .tried = kNoBackendsTried},
                        now);
   }
 
@@ -59,12 +59,12 @@
   MonotonicTime now{seconds(100)};
 };
 
-TEST_CASE("a view costs what differs in it, whatever the fleet's size") {
+TEST_CASE("a view costs work for its differences, not for the fleet size") {
   for (const int backends : {1'000, 10'000}) {
     CAPTURE(backends);
     Fleet fleet(backends);
     CHECK(fleet.pool.live_backends() == static_cast<std::size_t>(backends));
-    // Routers come and go.
+    // A router joins.
     fleet.view.members["router-1"].router = true;
     CHECK(fleet.Update() == 0);
     fleet.view.discovered[BackendName(7)].draining = true;
@@ -80,20 +80,22 @@
   }
 }
 
-// Heap that is in use.
+// Returns the heap memory in use.
 std::size_t HeapBytes() { return mallinfo2().uordblks; }
 
-// 27,000 back ends fit into the 32 MB that control may cost a daemon.
-TEST_CASE("a back end costs a router 1.18 KB, in its view and its pool") {
+// At this size 27,000 backends fit into the 32 MB that the control state may
+// use in a daemon.
+TEST_CASE(
+    "a backend uses at most 1185 bytes in the view and pool of a router") {
   constexpr int kBackends = 10'000;
   const std::size_t before = HeapBytes();
   const Fleet fleet(kBackends);
   const std::size_t each = (HeapBytes() - before) / kBackends;
-  MESSAGE(each << " bytes for each back end");
+  MESSAGE(each << " bytes per backend");
   CHECK(each <= 1'185);
 }
 
-TEST_CASE("back ends leave their service, change it and come back") {
+TEST_CASE("backends drain, change their service and are removed") {
   Fleet fleet(kServices);
   CHECK(fleet.Choose(3)->info.id == BackendName(3));
   fleet.view.discovered[BackendName(3)].draining = true;
@@ -114,7 +116,7 @@
   CHECK(fleet.pool.live_backends() == kServices - 2);
 }
 
-TEST_CASE("one that is gone is kept while something is under way there") {
+TEST_CASE("a removed backend is kept while an attempt is in flight there") {
   Fleet fleet(kServices);
   constexpr AttemptId kAttempt = 1;
   fleet.pool.OnSent(BackendName(5), kAttempt, fleet.now);
@@ -123,7 +125,7 @@
   CHECK(fleet.Choose(5) == nullptr);
   fleet.pool.OnEnded(BackendName(5), kAttempt, AttemptResult::kAnswered,
                      fleet.now);
-  // It comes back before it was forgotten.
+  // The backend returns before the pool has erased it.
   fleet.view.discovered[BackendName(5)] = {.id = BackendName(5),
                                            .service = ServiceName(5),
                                            .address = "a",
@@ -133,7 +135,7 @@
   CHECK(fleet.pool.live_backends() == kServices);
 }
 
-TEST_CASE("a zone that is evacuated and returns") {
+TEST_CASE("evacuated zones lose their backends until the evacuation ends") {
   Fleet fleet(kServices);
   fleet.view.evacuations["z"] = {};
   fleet.Update();
@@ -143,7 +145,7 @@
   CHECK(fleet.pool.live_backends() == kServices);
 }
 
-TEST_CASE("routers are counted by what differs") {
+TEST_CASE("the router count follows the differences between views") {
   RouterCount count;
   RouterCount::Members members;
   for (int number = 0; number < 985; ++number) {
--- a/test/unit/forwarding/canary_test.cc
+++ b/test/unit/forwarding/canary_test.cc
@@ -1,4 +1,5 @@
-// Which requests go to canaries of a roll-out, and what is counted of them.
+// Which requests go to the canaries of a rollout, and how their outcomes are
+// counted.
 #include <doctest/doctest.h>
 
 #include <memory>
@@ -42,10 +43,12 @@
 
   void Update() { pool.Update(view, 1, now); }
 
-  // Sends requests one after the other, each answered with `result` by whom it
-  // went to first. @return how many went to the canary first.
-  int Play(int requests,
-           AttemptResult canary_result = AttemptResult::kAnswered) {
+  // Runs requests one after the other. Canaries answer with `canary_result`,
+  // other backends answer successfully. Checks that only first attempts go to
+  // canaries.
+  // @return how many first attempts went to the canary.
+  int RunRequests(int requests,
+                  AttemptResult canary_result = AttemptResult::kAnswered) {
     int canaries = 0;
     for (int i = 0; i < requests; ++i) {
       RequestRun run(route, "s", now + seconds(4), RunOptions{}, pool, latency);
@@ -82,37 +85,38 @@
   MonotonicTime now{seconds(100)};
 };
 
-TEST_CASE("canaries get their share and no more") {
+TEST_CASE("canaries get their share of first attempts and no more") {
   Fleet fleet;
-  const int canaries = fleet.Play(1000);
-  // 100 on average, 9.5 of a standard deviation.
+  const int canaries = fleet.RunRequests(1000);
+  // The mean is 100 and the standard deviation 9.5.
   CHECK(canaries > 60);
   CHECK(canaries < 140);
   fleet.view.rollouts["s"].share_permille = 1000;
   fleet.Update();
   fleet.pool.OnSharesRenewed({7}, MonotonicTime::max());
-  CHECK(fleet.Play(100) == 100);
+  CHECK(fleet.RunRequests(100) == 100);
 }
 
-// Guards against canaries that keep a larger share while no leader judges them.
-TEST_CASE("a share that no leader renews falls back to the base share") {
+// Guards against canaries that keep a larger share while no leader evaluates
+// them.
+TEST_CASE("a share that the leader does not renew falls to the base share") {
   Fleet fleet;
   fleet.view.rollouts["s"].share_permille = 1000;
   fleet.Update();
   CHECK(fleet.pool.IsShareLapsed("s", fleet.now));
-  CHECK(fleet.Play(1000) < 140);
-  // Of another roll-out.
+  CHECK(fleet.RunRequests(1000) < 140);
+  // A renewal for another rollout does not count.
   fleet.pool.OnSharesRenewed({6}, MonotonicTime::max());
   CHECK(fleet.pool.IsShareLapsed("s", fleet.now));
   fleet.pool.OnSharesRenewed({7}, fleet.now + seconds(1));
   CHECK_FALSE(fleet.pool.IsShareLapsed("s", fleet.now));
-  CHECK(fleet.Play(50) == 50);
+  CHECK(fleet.RunRequests(50) == 50);
   fleet.now += seconds(1);
   CHECK(fleet.pool.IsShareLapsed("s", fleet.now));
-  CHECK(fleet.Play(1000) < 140);
+  CHECK(fleet.RunRequests(1000) < 140);
 }
 
-TEST_CASE("a renewal is not carried over to the next roll-out") {
+TEST_CASE("a renewal does not apply to the next rollout") {
   Fleet fleet;
   fleet.pool.OnSharesRenewed({7}, MonotonicTime::max());
   fleet.view.rollouts["s"].number = 8;
@@ -121,7 +125,7 @@
   CHECK(fleet.pool.IsShareLapsed("s", fleet.now));
 }
 
-TEST_CASE("work at back ends that get nothing more is counted") {
+TEST_CASE("attempts in flight at retired backends are counted") {
   Fleet fleet;
   fleet.pool.OnSent("old-1", 1, fleet.now);
   fleet.pool.OnSent("old-2", 2, fleet.now);
@@ -139,23 +143,23 @@
   CHECK(fleet.pool.retired_under_way() == 0);
 }
 
-TEST_CASE("what a canary failed is retried elsewhere, and counted") {
+TEST_CASE("a failed attempt at a canary is counted and retried elsewhere") {
   Fleet fleet;
-  const int canaries = fleet.Play(100, AttemptResult::kFailed);
+  const int canaries = fleet.RunRequests(100, AttemptResult::kFailed);
   CHECK(canaries > 0);
   std::uint32_t failed = 0;
-  std::uint32_t others = 0;
+  std::uint32_t baseline = 0;
   for (const auto& report : fleet.pool.answer_tally().MakeReport()) {
     CHECK(report.rollout == 7);
     CHECK(report.group.route == "r");
     failed += report.group.canary ? report.counts.failed : 0;
-    others += report.group.canary ? 0 : report.counts.total();
+    baseline += report.group.canary ? 0 : report.counts.total();
   }
   CHECK(failed == static_cast<std::uint32_t>(canaries));
-  CHECK(others == 100);
+  CHECK(baseline == 100);
 }
 
-TEST_CASE("requests that wait for no old back end do not go to canaries") {
+TEST_CASE("with a share of zero no request goes to canaries") {
   Fleet fleet;
   fleet.view.discovered["old-1"].draining = true;
   fleet.view.discovered["old-2"].draining = true;
@@ -168,14 +172,14 @@
   CHECK(run.outcome()->result == RunResult::kNotRun);
 }
 
-TEST_CASE("once a roll-out is over its version is one like the others") {
+TEST_CASE("after a rollout its version is treated like the others") {
   Fleet fleet;
   fleet.view.rollouts = {};
   fleet.view.discovered["new-1"].canary = false;
   fleet.view.discovered["old-1"].draining = true;
   fleet.view.discovered["old-2"].draining = true;
   fleet.Update();
-  CHECK(fleet.Play(20) == 0);
+  CHECK(fleet.RunRequests(20) == 0);
   CHECK(fleet.pool.answer_tally().MakeReport().empty());
 }
 
--- a/test/unit/forwarding/cold_allowance_test.cc
+++ b/test/unit/forwarding/cold_allowance_test.cc
@@ -1,4 +1,4 @@
-// What all routers together send to one cold back end.
+// All routers together stay below the request rate of a cold backend.
 #include "common/forwarding/cold_allowance.h"
 
 #include <doctest/doctest.h>
@@ -18,27 +18,28 @@
   return names;
 }
 
-// The most requests in any second, of times in order.
-std::size_t MostInOneSecond(const std::vector<MonotonicTime>& times) {
-  std::size_t most = 0;
+// Returns the maximum number of requests in any second. `times` is sorted.
+std::size_t MaximumPerSecond(const std::vector<MonotonicTime>& times) {
+  std::size_t maximum = 0;
   std::size_t begin = 0;
   for (std::size_t end = 0; end < times.size(); ++end) {
     while (times[end] - times[begin] > seconds(1)) {
       ++begin;
     }
-    most = std::max(most, end - begin + 1);
+    maximum = std::max(maximum, end - begin + 1);
   }
-  return most;
+  return maximum;
 }
 
-// A router tries to send at one millisecond of so many.
-constexpr std::uint64_t kTriesApart = 20;
+// Mean interval between the moments at which a router tries to send.
+constexpr std::uint64_t kMeanSendIntervalMs = 20;
 
-// Every router sends as often as it may for some seconds, at moments of its
-// own.
-// @param views which routers each one knows of.
-std::size_t Flood(const std::map<std::string, std::vector<std::string>>& views,
-                  const std::string& backend, double rate) {
+// Lets every router send as often as it may for five seconds, at random times.
+// @param views the routers that each router knows of.
+// @return the maximum number of requests in any second.
+std::size_t SendAtMaximumRate(
+    const std::map<std::string, std::vector<std::string>>& views,
+    const std::string& backend, double rate) {
   struct Router {
     ColdShare share;
     ColdAllowance allowance;
@@ -53,19 +54,21 @@
   for (MonotonicTime now{seconds(100)}; now < MonotonicTime{seconds(105)};
        now += milliseconds(1)) {
     for (auto& [share, allowance] : routers) {
-      if (random() % kTriesApart == 0 && allowance.MaySend(share, now)) {
+      if (random() % kMeanSendIntervalMs == 0 &&
+          allowance.MaySend(share, now)) {
         allowance.OnSent(share, now);
         sent.push_back(now);
       }
     }
   }
-  return MostInOneSecond(sent);
+  return MaximumPerSecond(sent);
 }
 
-// As users bound it: half more than the rate, and five requests.
+// The backend must accept 1.5 times its rate and five requests more, to cover
+// routers with different views.
 double Bound(double rate) { return 1.5 * rate + 5; }
 
-TEST_CASE("all routers together stay under the rate of a cold back end") {
+TEST_CASE("all routers together stay below the rate of a cold backend") {
   for (const int count : {1, 60, 300}) {
     for (const double rate : {0.3, 1.0, 6.0, 40.0, 900.0}) {
       CAPTURE(count);
@@ -75,17 +78,17 @@
       for (const std::string& name : names) {
         views[name] = names;
       }
-      const std::size_t most = Flood(views, "i-1", rate);
-      CHECK(static_cast<double>(most) <= std::max(1.0, rate));
-      // Nor do they leave much of it unused, as far as they try.
-      const double tried = count * 1000.0 / kTriesApart * 0.8;
-      CHECK(static_cast<double>(most) >=
-            std::min(std::floor(rate * 0.4), tried));
+      const std::size_t maximum = SendAtMaximumRate(views, "i-1", rate);
+      CHECK(static_cast<double>(maximum) <= std::max(1.0, rate));
+      // The routers use most of the rate, as far as they try to send.
+      const double attempted = count * 1000.0 / kMeanSendIntervalMs * 0.8;
+      CHECK(static_cast<double>(maximum) >=
+            std::min(std::floor(rate * 0.4), attempted));
     }
   }
 }
 
-TEST_CASE("routers that know of different routers stay under the bound") {
+TEST_CASE("routers with different views stay below the bound") {
   for (const int count : {60, 300}) {
     for (const double rate : {1.0, 6.0, 20.0}) {
       CAPTURE(count);
@@ -94,7 +97,8 @@
       const auto names = Routers(count);
       std::map<std::string, std::vector<std::string>> views;
       for (const std::string& name : names) {
-        // A tenth joined or left a moment ago: some know, others do not.
+        // A tenth of the routers joined or left a moment ago: some routers know
+        // of them, others do not.
         std::vector<std::string> known = Routers(count * 9 / 10);
         for (const std::string& other : Routers(count / 10, count * 9 / 10)) {
           if (other == name || random() % 2 == 0) {
@@ -103,7 +107,8 @@
         }
         views[name] = known;
       }
-      CHECK(static_cast<double>(Flood(views, "i-1", rate)) <= Bound(rate));
+      CHECK(static_cast<double>(SendAtMaximumRate(views, "i-1", rate)) <=
+            Bound(rate));
     }
   }
 }
@@ -112,17 +117,17 @@
   CHECK(ColdShareOf("new", Routers(3), "i-1", 50) == ColdShare());
 }
 
-TEST_CASE("back ends draw different routers") {
+TEST_CASE("different backends select different routers") {
   const auto names = Routers(60);
   std::size_t busiest = 0;
   for (const std::string& name : names) {
-    std::size_t drawn = 0;
+    std::size_t selected = 0;
     for (int backend = 0; backend < 60; ++backend) {
       const auto share =
           ColdShareOf(name, names, "i-" + std::to_string(backend), 1);
-      drawn += share.requests;
+      selected += share.requests;
     }
-    busiest = std::max(busiest, drawn);
+    busiest = std::max(busiest, selected);
   }
   CHECK(busiest <= 6);
 }
--- a/test/unit/forwarding/connection_allowance_test.cc
+++ b/test/unit/forwarding/connection_allowance_test.cc
@@ -1,4 +1,4 @@
-// How many connections a router uses at one back end.
+// The number of connections that ConnectionAllowance allows at one backend.
 #include "common/forwarding/connection_allowance.h"
 
 #include <doctest/doctest.h>
@@ -8,7 +8,7 @@
 
 constexpr std::size_t kCeiling = 8;
 
-TEST_CASE("it starts with one connection and grows to the ceiling") {
+TEST_CASE("the allowance starts with one connection and grows to the ceiling") {
   ConnectionAllowance allowance;
   CHECK(allowance.Get(kCeiling) == 1);
   std::size_t before = 1;
@@ -20,7 +20,8 @@
   CHECK(before == kCeiling);
 }
 
-TEST_CASE("each step takes answers on every connection that is open") {
+TEST_CASE(
+    "the answers needed for one more connection grow with the allowance") {
   ConnectionAllowance allowance;
   int answers = 0;
   while (allowance.Get(kCeiling) < 2) {
@@ -35,7 +36,7 @@
   CHECK(more > answers);
 }
 
-TEST_CASE("a refused connection halves it, one is always left") {
+TEST_CASE("a refused connection halves the allowance, down to one") {
   ConnectionAllowance allowance;
   for (int i = 0; i < 1000; ++i) {
     allowance.OnAnswered(kCeiling);
@@ -48,7 +49,7 @@
   CHECK(allowance.Get(kCeiling) == 1);
 }
 
-TEST_CASE("the ceiling bounds it, also when it falls, and one is left") {
+TEST_CASE("a lower ceiling bounds the allowance, down to one") {
   ConnectionAllowance allowance;
   for (int i = 0; i < 1000; ++i) {
     allowance.OnAnswered(kCeiling);
--- a/test/unit/forwarding/extra_budget_test.cc
+++ b/test/unit/forwarding/extra_budget_test.cc
@@ -1,5 +1,5 @@
-// The budget of hedges and retries: what is taken in any window stays under
-// ratio x requests + the router's share of the slack.
+// The budget for extra attempts: in any window a router sends at most ratio x
+// requests + its share of the slack.
 #include "common/forwarding/extra_budget.h"
 
 #include <doctest/doctest.h>
@@ -13,7 +13,7 @@
 constexpr ExtraBudgetLimits kLimits{
     .ratio = 0.2, .slack = 60, .window = seconds(10), .routers = 6};
 
-TEST_CASE("without requests only the router's share of the slack is there") {
+TEST_CASE("without requests a router has only its share of the slack") {
   ExtraAttemptBudget budget;
   int taken = 0;
   while (budget.TryTake(kLimits, MonotonicTime(seconds(100)))) {
@@ -23,7 +23,7 @@
   CHECK(taken <= 10);
 }
 
-TEST_CASE("what was taken comes back after a window") {
+TEST_CASE("the budget is available again after a window") {
   ExtraAttemptBudget budget;
   MonotonicTime now(seconds(100));
   while (budget.TryTake(kLimits, now)) {
@@ -32,7 +32,7 @@
   CHECK(budget.TryTake(kLimits, now + seconds(13)));
 }
 
-TEST_CASE("no window holds more than the limit, however requests come") {
+TEST_CASE("no window exceeds the limit under varying request rates") {
   struct Event {
     MonotonicTime at;
     bool extra;
@@ -58,34 +58,35 @@
         (window.front().extra ? extra : requests) -= 1;
         window.pop_front();
       }
-      // The budget looks back over 1.1 windows, and the busiest of this window
-      // and those before it counts; with this one alone the check is stricter.
+      // The budget covers 1.1 windows. It may exceed the limit of this window
+      // alone if an earlier one had more requests, so this check is stricter
+      // than the guarantee.
       CHECK(extra <= kLimits.ratio * requests * 1.1 + kLimits.slack / 6);
     }
   }
 }
 
-TEST_CASE("what is left falls as it is taken") {
+TEST_CASE("the remaining share falls with each extra attempt") {
   ExtraAttemptBudget budget;
   const MonotonicTime now(seconds(100));
   CHECK(budget.RemainingShare(kLimits, now) == 1);
-  double left = 1;
+  double remaining = 1;
   while (budget.TryTake(kLimits, now)) {
-    CHECK(budget.RemainingShare(kLimits, now) < left);
-    left = budget.RemainingShare(kLimits, now);
+    CHECK(budget.RemainingShare(kLimits, now) < remaining);
+    remaining = budget.RemainingShare(kLimits, now);
   }
-  CHECK(left < 0.2);
+  CHECK(remaining < 0.2);
   ExtraBudgetLimits none = kLimits;
   none.slack = 0;
   CHECK(ExtraAttemptBudget().RemainingShare(none, now) == 0);
 }
 
-TEST_CASE("a router that has just started has no part of the slack") {
+TEST_CASE("a router that has just started has no share of the slack") {
   ExtraBudgetLimits limits = kLimits;
   limits.slack_from = MonotonicTime(seconds(110));
   ExtraAttemptBudget budget;
   CHECK_FALSE(budget.TryTake(limits, MonotonicTime(seconds(109))));
-  // What its own requests allow is there.
+  // The router has the budget that its own requests allow.
   for (int i = 0; i < 20; ++i) {
     budget.OnRequest(limits, MonotonicTime(seconds(109)));
   }
--- a/test/unit/forwarding/failure_rate_test.cc
+++ b/test/unit/forwarding/failure_rate_test.cc
@@ -1,4 +1,4 @@
-// The share of recent attempts that brought no answer.
+// The failure rate of recent attempts, and its decay.
 #include "common/forwarding/failure_rate.h"
 
 #include <doctest/doctest.h>
@@ -6,7 +6,7 @@
 namespace juniperway::forwarding {
 namespace {
 
-TEST_CASE("the rate follows the attempts and fades") {
+TEST_CASE("the rate follows the attempts and decays") {
   FailureRate rate;
   MonotonicTime now(seconds(100));
   CHECK(rate.Get(now) == 0);
@@ -21,7 +21,7 @@
   CHECK(rate.Get(now) < before / 10);
 }
 
-TEST_CASE("a back end that is seldom asked is known for longer than a pause") {
+TEST_CASE("failures of a rarely used backend count for longer than a backoff") {
   FailureRate rate;
   MonotonicTime now(seconds(100));
   for (int i = 0; i < 5; ++i) {
--- a/test/unit/forwarding/placement_test.cc
+++ b/test/unit/forwarding/placement_test.cc
@@ -1,5 +1,5 @@
-// Where a request may go at all: its route's home regions, evacuated zones and
-// cold back ends, on every path on which a back end is chosen.
+// Which backends a request may use: its home regions, evacuated zones and cold
+// backends, on every path that chooses a backend.
 #include <doctest/doctest.h>
 
 #include <memory>
@@ -18,7 +18,7 @@
 
 std::string ShardName(int shard) { return "s" + std::to_string(shard); }
 
-// Each shard has a back end in each zone; ids are "s0-a1" to "s2-c1".
+// Each shard has a backend in each zone. The ids are "s0-a1" to "s2-c1".
 struct Fleet {
   explicit Fleet(const std::string& own_zone = "a1")
       : pool({.router = "self",
@@ -56,7 +56,7 @@
     route.destination = scatter;
   }
 
-  // Route tables are never changed in place: a change comes as another one.
+  // Route tables are immutable: each change makes a new one.
   void Update() {
     view.route_table = std::make_shared<routes::RouteTable>(*table);
     pool.Update(view, 1, now);
@@ -74,9 +74,9 @@
   return backend.substr(backend.find('-') + 1);
 }
 
-// Plays one request: every attempt ends at random, or stays silent.
-// @return the back ends that it was sent to.
-std::set<std::string> Play(Fleet& fleet, std::mt19937_64& random) {
+// Runs one request: every attempt ends with a random result or gets no answer.
+// @return the backends that the request was sent to.
+std::set<std::string> RunRequest(Fleet& fleet, std::mt19937_64& random) {
   RequestRun run(fleet.route, ShardName(0), fleet.now + seconds(4),
                  RunOptions{}, fleet.pool, fleet.latency);
   std::set<std::string> sent;
@@ -122,7 +122,7 @@
     }
     fleet.Update();
     for (int request = 0; request < 5; ++request) {
-      for (const std::string& backend : Play(fleet, random)) {
+      for (const std::string& backend : RunRequest(fleet, random)) {
         const std::string zone = ZoneOf(backend);
         CAPTURE(backend);
         CHECK((homes.empty() || homes.contains(RegionOf(zone))));
@@ -133,7 +133,8 @@
   }
 }
 
-TEST_CASE("what no home region can serve is refused at once, not run") {
+TEST_CASE(
+    "a request without a backend in its home regions is refused at once") {
   Fleet fleet;
   fleet.route.home_regions = routes::HomeRegions({"nowhere"});
   RequestRun run(fleet.route, ShardName(0), fleet.now + seconds(4),
@@ -144,7 +145,7 @@
   CHECK(run.TakeActions().empty());
 }
 
-TEST_CASE("a zone that nobody knows the region of serves no limited route") {
+TEST_CASE("a zone without a known region serves no route with home regions") {
   Fleet fleet;
   fleet.view.discovered.clear();
   fleet.view.discovered["x"] = {
@@ -159,17 +160,17 @@
                           fleet.now) == nullptr);
 }
 
-TEST_CASE("the last replica of an evacuated zone gets nothing either") {
+TEST_CASE("when all zones are evacuated, no backend gets a request") {
   Fleet fleet;
   for (const std::string& zone : kZones) {
     fleet.view.evacuations[zone] = {};
   }
   fleet.Update();
   std::mt19937_64 random(1);
-  CHECK(Play(fleet, random).empty());
+  CHECK(RunRequest(fleet, random).empty());
 }
 
-TEST_CASE("after an evacuation back ends are taken for cold for a while") {
+TEST_CASE("after an evacuation backends count as cold for the warm-up time") {
   Fleet fleet;
   for (auto& [name, service] : fleet.table->services) {
     service.warmup = seconds(3);
@@ -204,7 +205,8 @@
   CHECK(send_all() == 50);
 }
 
-TEST_CASE("a back end that the list calls cold gets its share only") {
+TEST_CASE(
+    "backends that the discovery list marks as cold get limited requests") {
   Fleet fleet;
   for (auto& [name, service] : fleet.table->services) {
     service.cold_requests_per_second = 1;
@@ -214,12 +216,12 @@
   }
   fleet.Update();
   std::mt19937_64 random(3);
-  const auto first = Play(fleet, random);
+  const auto first = RunRequest(fleet, random);
   CHECK_FALSE(first.empty());
-  // Another router of the same view that the members do not name sends none.
+  // A router that is not in the member list sends nothing.
   fleet.view.members = {};
   fleet.Update();
-  CHECK(Play(fleet, random).empty());
+  CHECK(RunRequest(fleet, random).empty());
 }
 
 }  // namespace
--- a/test/unit/forwarding/recent_latency_test.cc
+++ b/test/unit/forwarding/recent_latency_test.cc
@@ -1,4 +1,4 @@
-// What a back end's last answers say of it.
+// The median of the latest latencies of a backend.
 #include "common/forwarding/recent_latency.h"
 
 #include <doctest/doctest.h>
@@ -11,7 +11,8 @@
 constexpr Duration kSlow = milliseconds(300);
 const MonotonicTime kStart(seconds(100));
 
-// One after the other, each sent when the one before it has ended.
+// Records `count` samples, each attempt sent when the one before it ended.
+// @return when the last attempt ended.
 MonotonicTime RecordInTurn(RecentLatency& latency, Duration sample, int count,
                            MonotonicTime sent) {
   for (int i = 0; i < count; ++i) {
@@ -21,19 +22,19 @@
   return sent;
 }
 
-TEST_CASE("a back end without samples is taken for what is assumed") {
+TEST_CASE("without samples the median is the assumed latency") {
   CHECK(RecentLatency().Median(kStart, kInitial) == kInitial);
 }
 
-TEST_CASE("one pause, or two, does not make a back end slow") {
+TEST_CASE("one or two slow samples do not change the median") {
   RecentLatency latency;
   const MonotonicTime typical = RecordInTurn(latency, kTypical, 5, kStart);
   const MonotonicTime end = RecordInTurn(latency, kSlow, 2, typical);
   CHECK(latency.Median(end, kInitial) == kTypical);
 }
 
-TEST_CASE("where answers are rare two of three decide") {
-  // Too far apart for five to come within RecentLatency::kFrequentWindow.
+TEST_CASE("with rare answers two of three slow samples change the median") {
+  // Too far apart for five samples within RecentLatency::kFrequentWindow.
   constexpr Duration kInterval = milliseconds(500);
   RecentLatency latency;
   MonotonicTime now = kStart;
@@ -50,7 +51,7 @@
   CHECK(latency.Median(now, kInitial) == kSlow);
 }
 
-TEST_CASE("all that are under way in a pause count as one") {
+TEST_CASE("all attempts in flight during one pause count as one sample") {
   RecentLatency latency;
   const MonotonicTime typical = RecordInTurn(latency, kTypical, 5, kStart);
   for (int i = 0; i < 5; ++i) {
@@ -59,14 +60,14 @@
   CHECK(latency.Median(typical + kSlow, kInitial) == kTypical);
 }
 
-TEST_CASE("a back end that stays slow shows after three answers") {
+TEST_CASE("three slow samples change the median") {
   RecentLatency latency;
   const MonotonicTime typical = RecordInTurn(latency, kTypical, 5, kStart);
   const MonotonicTime end = RecordInTurn(latency, kSlow, 3, typical);
   CHECK(latency.Median(end, kInitial) == kSlow);
 }
 
-TEST_CASE("what is old is forgotten") {
+TEST_CASE("samples expire") {
   RecentLatency latency;
   const MonotonicTime end = RecordInTurn(latency, kSlow, 3, kStart);
   CHECK(latency.Median(end, kInitial) == kSlow);
--- a/test/unit/forwarding/shared_observations_test.cc
+++ b/test/unit/forwarding/shared_observations_test.cc
@@ -1,5 +1,6 @@
-// What callers get of a large fleet whose routers tell each other where
-// requests fail: many routers, each of which asks one back end once in minutes.
+// Measures the answered shards in a large fleet whose routers report failures
+// to each other. There are many routers, and each sends to one backend once in
+// minutes.
 #include <doctest/doctest.h>
 
 #include <memory>
@@ -14,12 +15,13 @@
 namespace {
 
 constexpr std::size_t kRouters = 200;
-constexpr std::size_t kMachines = 4;
+constexpr std::size_t kControlNodes = 4;
 constexpr int kShards = 6;
 constexpr int kReplicas = 40;
-// Over all routers: 50 a second, as many as a fleet of 985 sees.
-constexpr Duration kBetweenScatters = milliseconds(20);
-constexpr Duration kWork = milliseconds(20);
+// 50 scatter requests per second over all routers, as many as a fleet of 985
+// routers gets.
+constexpr Duration kScatterInterval = milliseconds(20);
+constexpr Duration kServiceTime = milliseconds(20);
 
 std::string ServiceName(int shard) { return "shard-" + std::to_string(shard); }
 
@@ -43,14 +45,15 @@
   return view;
 }
 
-// Routers, the control machines between them, and back ends of which four in
-// five shed three fifths of what they get.
+// Routers, the control nodes between them, and backends of which four in five
+// can shed three fifths of their requests.
 class Fleet {
  public:
-  explicit Fleet(bool shares_observations) : relays_(kMachines), random_(1) {
+  explicit Fleet(bool shares_observations)
+      : relays_(kControlNodes), random_(1) {
     const auto view = MakeView();
     for (std::size_t router = 0; router < kRouters; ++router) {
-      // One extra attempt a router, shard and window, as its even part.
+      // The share of each router is one extra attempt per shard and window.
       pools_.push_back(std::make_unique<BackendPool>(
           PoolOptions{.zone = "here",
                       .regions = {{"here", "r"}},
@@ -61,30 +64,32 @@
     }
   }
 
-  // This router's link to all back ends is broken.
+  // Breaks the connections of this router to all backends.
   void BreakLinks(std::size_t router) { broken_router_ = router; }
+  // From now on four in five backends shed three fifths of their requests.
   void Shed() { shedding_ = true; }
 
-  // @return the share of shards that were answered.
-  double Play(Duration duration) {
+  // @return the share of shards that were answered, without those of the broken
+  //   router.
+  double RunRequests(Duration duration) {
     std::size_t answered = 0;
-    std::size_t asked = 0;
+    std::size_t queried = 0;
     const MonotonicTime end = now_ + duration;
     while (now_ < end) {
       const std::size_t router = random_() % kRouters;
       for (int shard = 0; shard < kShards; ++shard) {
         const bool counts = router != broken_router_;
-        asked += counts ? 1 : 0;
-        answered += Ask(router, ServiceName(shard)) && counts ? 1 : 0;
+        queried += counts ? 1 : 0;
+        answered += QueryShard(router, ServiceName(shard)) && counts ? 1 : 0;
       }
-      now_ += kBetweenScatters;
-      PassOn();
+      now_ += kScatterInterval;
+      RelayObservations();
     }
-    return static_cast<double>(answered) / static_cast<double>(asked);
+    return static_cast<double>(answered) / static_cast<double>(queried);
   }
 
  private:
-  bool Ask(std::size_t router, const std::string& service) {
+  bool QueryShard(std::size_t router, const std::string& service) {
     BackendPool& pool = *pools_[router];
     const routes::HomeRegions anywhere;
     std::vector<std::string> tried;
@@ -99,7 +104,7 @@
       tried.push_back(id);
       pool.OnSent(id, ++attempt_, now_);
       const AttemptResult result = ResultAt(router, id);
-      pool.OnEnded(id, attempt_, result, now_ + kWork);
+      pool.OnEnded(id, attempt_, result, now_ + kServiceTime);
       if (result == AttemptResult::kAnswered) {
         return true;
       }
@@ -116,12 +121,13 @@
     return sheds ? AttemptResult::kShed : AttemptResult::kAnswered;
   }
 
-  // Reports to the routers' machines at once, digests at their interval.
-  void PassOn() {
+  // Passes new reports to the control node of each router at once, and digests
+  // between control nodes and to routers at the relay interval.
+  void RelayObservations() {
     for (std::size_t router = 0; router < kRouters; ++router) {
       auto& log = pools_[router]->observation_log();
       if (log.has_news()) {
-        relays_[router % kMachines].OnReport(
+        relays_[router % kControlNodes].OnReport(
             log.Take(observation::kMostEntries, now_));
       }
     }
@@ -129,18 +135,18 @@
       return;
     }
     next_relay_ = now_ + observation::kRelayInterval;
-    for (std::size_t machine = 0; machine < kMachines; ++machine) {
-      const auto digest = relays_[machine].TakeForMachines();
-      for (std::size_t other = 0; other < kMachines; ++other) {
-        if (other != machine) {
+    for (std::size_t node = 0; node < kControlNodes; ++node) {
+      const auto digest = relays_[node].TakeForMachines();
+      for (std::size_t other = 0; other < kControlNodes; ++other) {
+        if (other != node) {
           relays_[other].OnDigest(digest);
         }
       }
     }
-    for (std::size_t machine = 0; machine < kMachines; ++machine) {
-      const auto digest = relays_[machine].TakeForDaemons();
-      for (std::size_t router = machine; router < kRouters;
-           router += kMachines) {
+    for (std::size_t node = 0; node < kControlNodes; ++node) {
+      const auto digest = relays_[node].TakeForDaemons();
+      for (std::size_t router = node; router < kRouters;
+           router += kControlNodes) {
         pools_[router]->OnObservations(digest, now_);
       }
     }
@@ -156,29 +162,30 @@
   AttemptId attempt_ = 0;
 };
 
-TEST_CASE("routers that share what they see find the back ends that serve") {
+TEST_CASE(
+    "routers that share observations find the backends that do not shed") {
   std::vector<double> answered;
   for (const bool shares : {false, true}) {
     Fleet fleet(shares);
-    CHECK(fleet.Play(seconds(10)) == 1);
+    CHECK(fleet.RunRequests(seconds(10)) == 1);
     fleet.Shed();
-    fleet.Play(seconds(4));
-    answered.push_back(fleet.Play(seconds(6)));
+    fleet.RunRequests(seconds(4));
+    answered.push_back(fleet.RunRequests(seconds(6)));
   }
-  MESSAGE("shards answered: alone " << answered[0] << ", shared "
-                                    << answered[1]);
-  // 1 - 0.48 x 0.48 with one further attempt.
+  MESSAGE("share of shards answered: without shared observations "
+          << answered[0] << ", with " << answered[1]);
+  // About 1 - 0.48 x 0.48 with one extra attempt.
   CHECK(answered[0] < 0.85);
   CHECK(answered[1] > 0.95);
 }
 
-TEST_CASE("a router whose links are broken does not mislead the others") {
+TEST_CASE("a router with broken connections does not mislead the others") {
   Fleet fleet(/*shares_observations=*/true);
   fleet.BreakLinks(7);
-  CHECK(fleet.Play(seconds(20)) == 1);
+  CHECK(fleet.RunRequests(seconds(20)) == 1);
   fleet.Shed();
-  fleet.Play(seconds(4));
-  CHECK(fleet.Play(seconds(6)) > 0.95);
+  fleet.RunRequests(seconds(4));
+  CHECK(fleet.RunRequests(seconds(6)) > 0.95);
 }
 
 }  // namespace
--- a/test/unit/forwarding/split_chooser_test.cc
+++ b/test/unit/forwarding/split_chooser_test.cc
@@ -1,4 +1,4 @@
-// Shares of a split hold over short spans.
+// SplitChooser keeps the shares of a split route also over short windows.
 #include "common/forwarding/split_chooser.h"
 
 #include <doctest/doctest.h>
@@ -8,7 +8,7 @@
 namespace juniperway::forwarding {
 namespace {
 
-TEST_CASE("each part gets its share at every moment") {
+TEST_CASE("each service has its share after every request") {
   routes::Route route;
   route.name = "split";
   route.destination =
@@ -24,7 +24,7 @@
   CHECK(counts["d"] == 0);
 }
 
-TEST_CASE("changed weights count from their change on") {
+TEST_CASE("changed weights apply from the next request") {
   routes::Route route;
   route.name = "split";
   route.destination = routes::SplitTarget{{{"a", 1}, {"b", 0}}};
--- a/test/unit/forwarding/usual_deadline_test.cc
+++ b/test/unit/forwarding/usual_deadline_test.cc
@@ -1,4 +1,4 @@
-// How long ago a client asked for the first time.
+// Estimates how long ago a client sent a request for the first time.
 #include "common/forwarding/usual_deadline.h"
 
 #include <doctest/doctest.h>
@@ -8,14 +8,14 @@
 
 constexpr MonotonicTime kNow{seconds(100)};
 
-TEST_CASE("a request with less time than estimate was tried before") {
+TEST_CASE("a shorter timeout counts as a retry of an earlier request") {
   UsualDeadline estimate;
   CHECK(estimate.ElapsedBefore(seconds(3), kNow) == Duration(0));
   CHECK(estimate.ElapsedBefore(seconds(2), kNow) == seconds(1));
   CHECK(estimate.ElapsedBefore(seconds(3), kNow) == Duration(0));
 }
 
-TEST_CASE("a long deadline that does not come again is forgotten") {
+TEST_CASE("a long timeout that does not come again expires") {
   UsualDeadline estimate;
   estimate.ElapsedBefore(seconds(12), kNow);
   MonotonicTime now = kNow;
@@ -26,7 +26,7 @@
   CHECK(estimate.ElapsedBefore(seconds(3), now) == Duration(0));
 }
 
-TEST_CASE("what is estimate outlasts one period") {
+TEST_CASE("the maximum timeout of a window counts in the next one too") {
   UsualDeadline estimate;
   estimate.ElapsedBefore(seconds(3), kNow);
   CHECK(estimate.ElapsedBefore(seconds(2), kNow + UsualDeadline::kWindow) ==
--- a/test/unit/forwarding/usual_latency_test.cc
+++ b/test/unit/forwarding/usual_latency_test.cc
@@ -1,4 +1,4 @@
-// The latency that stands for back ends which have not answered.
+// The estimated typical latency of a service.
 #include "common/forwarding/usual_latency.h"
 
 #include <doctest/doctest.h>
@@ -14,17 +14,17 @@
   }
 }
 
-TEST_CASE("without a sample nothing is typical") {
+TEST_CASE("without a sample there is no estimate") {
   CHECK_FALSE(TypicalLatency().Get());
 }
 
-TEST_CASE("the first sample is typical") {
+TEST_CASE("the first sample is the estimate") {
   TypicalLatency typical;
   typical.Record(milliseconds(28));
   CHECK(typical.Get() == milliseconds(28));
 }
 
-TEST_CASE("it settles near the lowest quarter of what it sees") {
+TEST_CASE("the estimate converges to the first quartile of the samples") {
   TypicalLatency typical;
   std::mt19937_64 random(1);
   std::uniform_int_distribution<int> latency_ms(100, 200);
@@ -35,7 +35,7 @@
   CHECK(typical.Get() < milliseconds(145));
 }
 
-TEST_CASE("some slow answers hardly move it, many do") {
+TEST_CASE("some slow answers hardly change the estimate, many do") {
   TypicalLatency typical;
   RecordMany(typical, milliseconds(28), 100);
   RecordMany(typical, milliseconds(112), 10);
@@ -44,7 +44,7 @@
   CHECK(typical.Get() > milliseconds(90));
 }
 
-TEST_CASE("answers that take no time do not stop it from growing again") {
+TEST_CASE("the estimate can grow again after latencies of zero") {
   TypicalLatency typical;
   RecordMany(typical, Duration(0), 1000);
   RecordMany(typical, milliseconds(28), 1000);
--- a/test/unit/forwarding/warm_connections_test.cc
+++ b/test/unit/forwarding/warm_connections_test.cc
@@ -1,4 +1,5 @@
-// Which back ends a router has unused connections to, and what it makes of it.
+// Estimates of the idle connections of a router, and their effect on the choice
+// of a backend.
 #include "common/forwarding/warm_connections.h"
 
 #include <doctest/doctest.h>
@@ -10,7 +11,8 @@
 
 using test::World;
 
-TEST_CASE("an attempt takes an unused connection and leaves it after") {
+TEST_CASE(
+    "an attempt uses an idle connection and leaves one after its answer") {
   const MonotonicTime now{seconds(100)};
   IdleConnections warm(seconds(20));
   CHECK_FALSE(warm.IsAnyOpen(now));
@@ -26,7 +28,8 @@
   CHECK_FALSE(warm.IsAnyOpen(now + seconds(23)));
 }
 
-// Back ends of shard s0 that answered scatters which are `gap` apart.
+// Returns the backends of shard s0 that answered scatter requests sent `gap`
+// apart.
 std::set<std::string> BackendsUsed(Duration gap, int scatters) {
   World world;
   std::set<std::string> used;
@@ -45,9 +48,9 @@
   return used;
 }
 
-TEST_CASE("scatters that are seconds apart use the connections there are") {
+TEST_CASE("scatter requests seconds apart use the open connections") {
   CHECK(BackendsUsed(seconds(17), 30).size() == 1);
-  // Longer apart than connections are kept, all are equal.
+  // When the idle connections have expired, all replicas are equal.
   CHECK(BackendsUsed(seconds(70), 30).size() == 3);
 }
 
