--- a/source/common/forwarding/adaptive_throttle.h
+++ b/source/common/forwarding/adaptive_throttle.h
@@ -47,6 +47,7 @@
 
   // @return false when the caller should refuse the request.
   bool Admit(MonotonicTime now);
+  // Records the end of an admitted request.
   // @param shed the request failed or was late, and backends had shed attempts
   //   of it.
   void OnEnded(bool shed, MonotonicTime now);
@@ -55,6 +56,7 @@
   double admitted_share() const { return share_; }
 
  private:
+  // Applies decay and growth up to now.
   void Advance(MonotonicTime now);
 
   std::mt19937_64 random_;
--- a/source/common/forwarding/backend_pool.h
+++ b/source/common/forwarding/backend_pool.h
@@ -75,14 +75,17 @@
 struct PoolOptions {
   // Name of this router in the member list of the fleet view.
   std::string router{};
+  // Zone of this router.
   std::string zone;
   // Maps zones to regions. A zone that is missing here counts as outside the
   // region of this router.
   std::map<std::string, std::string> regions;
+  // Limits of the extra attempts, the same for each service.
   ExtraBudgetLimits extra;
   // Whether this router reports its failures to other routers and uses the
   // failures that they report.
   bool shares_observations = true;
+  // Seed of the random choices.
   std::uint64_t seed = 1;
 };
 
@@ -114,15 +117,18 @@
     // Connections that each backend accepts from all clients together. 0 when
     // the service is not in the route table.
     std::uint32_t maximum_connections = 0;
-    // See routes::RoutedService for the two idle_connections-up settings.
+    // See routes::RoutedService for the two warm-up settings.
     Duration warmup{};
     double cold_requests_per_second = 0;
+    // Typical latency of all its backends, without their locality_penalty.
     TypicalLatency typical_latency;
     // Whether a backend of the service has named the request that it answered.
     bool names_requests = false;
+    // Bounds the hedges and retries of this router.
     ExtraAttemptBudget budget;
     // Number of the current rollout. 0 when the service has none.
     rollout::RolloutNumber rollout = 0;
+    // Which requests may go to canaries.
     rollout::CanaryAllowance canary_allowance;
 
     // Whether canaries get all requests. Backends of the baseline version then
@@ -134,6 +140,7 @@
 
   // State of one backend.
   struct Backend {
+    // The entry of the backend in the discovery list.
     session::DiscoveredBackend info;
     // Identifies the incarnation of the backend in observations.
     observation::BackendHash hash = 0;
@@ -173,6 +180,8 @@
     // its zone ends or its process starts again: the discovery list may not
     // show yet that it is cold.
     MonotonicTime assumed_cold_until = MonotonicTime::min();
+    // Share of this router in the requests that the backend accepts while it is
+    // cold, and the count of the requests sent to it.
     ColdShare cold_share;
     ColdAllowance cold_allowance;
   };
@@ -206,6 +215,7 @@
   // is one.
   void CountForRollout(const std::string& route, const std::string& id,
                        const AttemptOutcome& outcome);
+  // Outcomes that CountForRollout has counted.
   rollout::AnswerTally& answer_tally() { return answer_tally_; }
   // Whether the canaries of the service get only the base share because no
   // leader has renewed the share of the rollout.
@@ -227,14 +237,15 @@
   // answered.
   void OnNamedRequest(const std::string& service);
 
-  // Retry budget of a service, which bounds its hedges and retries.
-  // OnFirstRequest counts a request that came from a client. TakeExtra returns
-  // false when the budget allows no extra attempt now, otherwise counts one.
+  // Budget of a service for hedges and retries. OnFirstRequest counts a request
+  // to the service, before its first attempt. TakeExtra returns false when the
+  // budget allows no extra attempt now, otherwise counts one.
   void OnFirstRequest(const std::string& service, MonotonicTime now);
   bool TakeExtra(const std::string& service, MonotonicTime now);
 
   // Number of backends of all services that may get requests.
   std::size_t live_backends() const { return live_backends_; }
+  // Number of routers that share the connections of the backends.
   std::size_t routers() const { return routers_; }
   // Number of backends that Update has processed since the start because a view
   // differed from the one before.
@@ -243,6 +254,8 @@
  private:
   using Backends = std::map<std::string, Backend>;
 
+  // Sets the number of routers. A decrease applies to the budgets after one
+  // more window.
   void SetRouterCount(std::size_t routers, MonotonicTime now);
   // Limits of the retry budgets for the current number of routers.
   const ExtraBudgetLimits& BudgetLimits(MonotonicTime now);
@@ -260,9 +273,9 @@
   // Moves the backend into or out of the backends of its service.
   void SetRetired(Backend& backend, bool retired);
   // Discards the observations of a backend whose process has started again
-  // under the same id: they say nothing about the new process. DecayedAttempts
-  // in flight at the old process bring no answer and do not count against the
-  // new one.
+  // under the same id: they say nothing about the new process. The attempts in
+  // flight at the old process bring no answer and do not count against the new
+  // one.
   void ResetObservations(Backend& backend);
   void UpdateServices(const session::FleetView& view);
   // Updates the share of this router in the request rate of cold backends.
--- a/source/common/forwarding/cold_allowance.h
+++ b/source/common/forwarding/cold_allowance.h
@@ -28,6 +28,7 @@
   bool operator==(const ColdShare&) const = default;
 };
 
+// Returns the share of `router` in the requests that a cold backend accepts.
 // @param routers names of all routers.
 // @param backend id of the cold backend.
 // @param rate requests per second that the backend accepts from all routers,
@@ -39,6 +40,7 @@
 // Counts the requests that this router sent to one cold backend.
 class ColdAllowance {
  public:
+  // Whether the share allows one more request now. OnSent counts one.
   bool MaySend(const ColdShare& share, MonotonicTime now) const;
   void OnSent(const ColdShare& share, MonotonicTime now);
 
--- a/source/common/forwarding/connection_allowance.cc
+++ b/source/common/forwarding/connection_allowance.cc
@@ -8,7 +8,8 @@
 // Answers on each allowed connection before one more is allowed. At a few
 // answers per second the router uses its whole share within one or two seconds.
 constexpr double kAnswersPerStep = 4;
-// Factor that a reset applies to the number of connections.
+// Factor that a refused or reset connection applies to the number of
+// connections.
 constexpr double kDecrease = 0.5;
 
 }  // namespace
--- a/source/common/forwarding/extra_budget.cc
+++ b/source/common/forwarding/extra_budget.cc
@@ -38,7 +38,7 @@
   Usage usage;
   for (const Slice& slice : slices_) {
     requests += slice.requests;
-    usage.taken += slice.extra;
+    usage.taken += slice.extra_attempts;
   }
   const double routers =
       static_cast<double>(std::max<std::size_t>(1, limits.routers));
@@ -53,7 +53,7 @@
   if (usage.taken + 1 > usage.allowed) {
     return false;
   }
-  ++slices_[static_cast<std::size_t>(current_) % kSlices].extra;
+  ++slices_[static_cast<std::size_t>(current_) % kSlices].extra_attempts;
   return true;
 }
 
--- a/source/common/forwarding/extra_budget.h
+++ b/source/common/forwarding/extra_budget.h
@@ -13,24 +13,25 @@
 
 namespace juniperway::forwarding {
 
-// Settings of a ExtraAttemptBudget.
+// Settings of an ExtraAttemptBudget.
 struct ExtraBudgetLimits {
-  // Limits for the whole fleet, for each service: extra attempts per request,
-  // and a number of extra attempts per window.
+  // Limits of the whole fleet for each service: extra attempts per request, and
+  // extra attempts per window that need no request.
   double ratio = 0.2;
   double slack = 10;
+  // The bound holds for any time span of this length.
   Duration window = seconds(10);
   // Number of routers that share the slack.
   std::size_t routers = 1;
-  // Before this time the router has no share of the slack: the process before a
-  // restart may have used it in the current window.
+  // Before this time the router has no share of the slack. The process that ran
+  // before a restart may have used the share in the current window.
   MonotonicTime slack_from = MonotonicTime::min();
 };
 
 // Counts requests and extra attempts of one router at one service.
 class ExtraAttemptBudget {
  public:
-  // Counts a request that came from a client.
+  // Counts a request to the service, before its first attempt.
   void OnRequest(const ExtraBudgetLimits& limits, MonotonicTime now);
 
   // @return false when no extra attempt may be sent now; otherwise counts one.
@@ -47,7 +48,7 @@
 
   struct Slice {
     std::uint32_t requests = 0;
-    std::uint32_t extra = 0;
+    std::uint32_t extra_attempts = 0;
   };
 
   // Allowed and sent extra attempts in the window.
@@ -56,6 +57,7 @@
     double taken = 0;
   };
   Usage UsageOf(const ExtraBudgetLimits& limits, MonotonicTime now);
+  // Clears the slices that have left the window.
   void AdvanceTo(const ExtraBudgetLimits& limits, MonotonicTime now);
 
   std::array<Slice, kSlices> slices_{};
--- a/source/common/forwarding/failure_rate.h
+++ b/source/common/forwarding/failure_rate.h
@@ -1,6 +1,7 @@
-// FailureRate is the share of recent attempts at a backend that brought no
-// success: the backend shed them, failed them or broke the connection.
-// BackendPool owns one for each backend. Callers pass the current time.
+// FailureRate is the share of recent attempts at a backend that ended without a
+// successful answer, for example because the backend shed or failed them.
+// BackendPool owns one for each backend, and does not record abandoned
+// attempts. Callers pass the current time.
 //
 // Backoffs and ejections mostly last less than one or two seconds. A router of
 // a large fleet sends to one backend about that rarely, so that they have ended
@@ -18,6 +19,7 @@
   // router that sends two per second to a backend.
   static constexpr Duration kDecayTime = seconds(8);
 
+  // Counts an attempt that has ended.
   void Record(bool failed, MonotonicTime now);
 
   // @return failure rate, 0 to 1. One successful attempt is added to the count,
@@ -30,6 +32,7 @@
   }
 
  private:
+  // Decay of the counts since the last recorded attempt, 0 to 1.
   double DecayFactor(MonotonicTime now) const;
 
   MonotonicTime last_{};
--- a/source/common/forwarding/router_count.h
+++ b/source/common/forwarding/router_count.h
@@ -14,6 +14,7 @@
  public:
   using Members = decltype(session::FleetView::members);
 
+  // Counts the routers of a newer view.
   void Update(const Members& members) {
     Members::ForEachDifference(
         members_, members,
--- a/source/common/forwarding/split_chooser.h
+++ b/source/common/forwarding/split_chooser.h
@@ -19,6 +19,8 @@
   const std::string& Choose(const routes::Route& route);
 
  private:
+  // Weights of one split route and the counts that belong to them. A change of
+  // the weights resets the counts.
   struct State {
     std::vector<routes::WeightedService> parts;
     // For each service, the number of requests that it is below its share.
--- a/source/common/forwarding/usual_latency.h
+++ b/source/common/forwarding/usual_latency.h
@@ -22,6 +22,7 @@
   // it.
   static constexpr double kRelativeStep = 0.05;
 
+  // Moves the estimate one step towards the quantile.
   void Record(Duration latency);
   // @return the estimate, or nothing before the first sample.
   std::optional<Duration> Get() const { return estimate_; }
--- a/source/common/forwarding/warm_connections.h
+++ b/source/common/forwarding/warm_connections.h
@@ -26,6 +26,7 @@
   // Records that all connections are closed.
   void Clear() { idle_since_.clear(); }
 
+  // Whether at least one idle connection is open.
   bool IsAnyOpen(MonotonicTime now) const {
     return !idle_since_.empty() && now - idle_since_.back() < idle_timeout_;
   }
--- a/test/unit/forwarding/shared_observations_test.cc
+++ b/test/unit/forwarding/shared_observations_test.cc
@@ -121,8 +121,8 @@
     return sheds ? AttemptResult::kShed : AttemptResult::kAnswered;
   }
 
-  // Passes new reports to the control node of each router at once, and digests
-  // between control nodes and to routers at the relay interval.
+  // Passes new reports of each router to its control node at once. At the relay
+  // interval, control nodes send digests to each other and to their routers.
   void RelayObservations() {
     for (std::size_t router = 0; router < kRouters; ++router) {
       auto& log = pools_[router]->observation_log();
