--- a/source/common/forwarding/cold_allowance.cc
+++ b/source/common/forwarding/cold_allowance.cc
@@ -8,8 +8,9 @@
 namespace juniperway::forwarding {
 namespace {
 
-// A share is for a longer window than the second that the rate speaks of: two
-// requests that leave a second apart arrive closer when the first is delayed.
+// The window is longer than the second that the rate refers to: two requests
+// that are sent a second apart arrive closer together when the first is
+// delayed.
 constexpr double kWindowSeconds = 1.1;
 
 }  // namespace
@@ -17,18 +18,18 @@
 ColdShare ColdShareOf(const std::string& router,
                       const std::vector<std::string>& routers,
                       const std::string& backend, double rate) {
-  // One that the others do not know of yet would come on top of their shares.
+  // A router that the others do not know yet would add to their shares.
   const bool known = std::ranges::find(routers, router) != routers.end();
-  const auto drawn = std::min(
+  const auto selected = std::min(
       routers.size(),
       std::max<std::size_t>(1, static_cast<std::size_t>(std::floor(rate))));
-  if (!known || RendezvousRank(router, routers, backend) >= drawn) {
+  if (!known || RendezvousRank(router, routers, backend) >= selected) {
     return {};
   }
-  const double each = rate / static_cast<double>(drawn);
-  const double seconds_each = kWindowSeconds * std::max(1.0, 1 / each);
+  const double per_router = rate / static_cast<double>(selected);
+  const double seconds_each = kWindowSeconds * std::max(1.0, 1 / per_router);
   return {.requests = std::max<std::size_t>(
-              1, static_cast<std::size_t>(std::floor(each))),
+              1, static_cast<std::size_t>(std::floor(per_router))),
           .window = std::chrono::duration_cast<Duration>(
               std::chrono::duration<double>(seconds_each))};
 }
--- a/source/common/forwarding/extra_budget.cc
+++ b/source/common/forwarding/extra_budget.cc
@@ -5,16 +5,17 @@
 namespace juniperway::forwarding {
 namespace {
 
-// Share of the budget that is used. Each router keeps its own in every window,
-// and so does their sum; the rest covers clocks and the ways between routers
-// and back ends. Mean worth of five days with trouble and 70 machines 0.592 at
-// 0.8 with 12 slices, 0.600 at 0.95 with 22 (simulated).
+// Share of the budget that a router uses. Each router stays within its budget
+// in every window, and so does their sum; the rest covers clock differences and
+// delays between routers and backends.
 constexpr double kUsedShare = 0.95;
 
 }  // namespace
 
-void ExtraBudget::Roll(const ExtraBudgetLimits& limits, MonotonicTime now) {
-  // Two slices more than the window: the current one is not full yet.
+void ExtraAttemptBudget::AdvanceTo(const ExtraBudgetLimits& limits,
+                                   MonotonicTime now) {
+  // The slices span two slices more than the window, because the current slice
+  // is incomplete.
   const Duration width = limits.window / static_cast<int>(kSlices - 2);
   const std::int64_t slice = now.time_since_epoch() / width;
   const std::int64_t passed = std::min<std::int64_t>(slice - current_, kSlices);
@@ -24,42 +25,44 @@
   current_ = std::max(current_, slice);
 }
 
-void ExtraBudget::OnRequest(const ExtraBudgetLimits& limits,
-                            MonotonicTime now) {
-  Roll(limits, now);
+void ExtraAttemptBudget::OnRequest(const ExtraBudgetLimits& limits,
+                                   MonotonicTime now) {
+  AdvanceTo(limits, now);
   ++slices_[static_cast<std::size_t>(current_) % kSlices].requests;
 }
 
-ExtraBudget::Use ExtraBudget::UseOf(const ExtraBudgetLimits& limits,
-                                    MonotonicTime now) {
-  Roll(limits, now);
+ExtraAttemptBudget::Usage ExtraAttemptBudget::UsageOf(
+    const ExtraBudgetLimits& limits, MonotonicTime now) {
+  AdvanceTo(limits, now);
   double requests = 0;
-  Use use;
+  Usage usage;
   for (const Slice& slice : slices_) {
     requests += slice.requests;
-    use.taken += slice.extra;
+    usage.taken += slice.extra_attempts;
   }
   const double routers =
       static_cast<double>(std::max<std::size_t>(1, limits.routers));
   const double slack = now < limits.slack_from ? 0 : limits.slack / routers;
-  use.allowed = kUsedShare * (limits.ratio * requests + slack);
-  return use;
+  usage.allowed = kUsedShare * (limits.ratio * requests + slack);
+  return usage;
 }
 
-bool ExtraBudget::TryTake(const ExtraBudgetLimits& limits, MonotonicTime now) {
-  const Use use = UseOf(limits, now);
-  if (use.taken + 1 > use.allowed) {
+bool ExtraAttemptBudget::TryTake(const ExtraBudgetLimits& limits,
+                                 MonotonicTime now) {
+  const Usage usage = UsageOf(limits, now);
+  if (usage.taken + 1 > usage.allowed) {
     return false;
   }
-  ++slices_[static_cast<std::size_t>(current_) % kSlices].extra;
+  ++slices_[static_cast<std::size_t>(current_) % kSlices].extra_attempts;
   return true;
 }
 
-double ExtraBudget::LeftShare(const ExtraBudgetLimits& limits,
-                              MonotonicTime now) {
-  const Use use = UseOf(limits, now);
-  return use.allowed <= 0 ? 0
-                          : std::clamp(1 - use.taken / use.allowed, 0.0, 1.0);
+double ExtraAttemptBudget::RemainingShare(const ExtraBudgetLimits& limits,
+                                          MonotonicTime now) {
+  const Usage usage = UsageOf(limits, now);
+  return usage.allowed <= 0
+             ? 0
+             : std::clamp(1 - usage.taken / usage.allowed, 0.0, 1.0);
 }
 
 }  // namespace juniperway::forwarding
--- a/test/unit/forwarding/recent_latency_test.cc
+++ b/test/unit/forwarding/recent_latency_test.cc
@@ -1,4 +1,4 @@
-// What a back end's last answers say of it.
+// The median of the latest latencies of a backend.
 #include "common/forwarding/recent_latency.h"
 
 #include <doctest/doctest.h>
@@ -7,11 +7,12 @@
 namespace {
 
 constexpr Duration kInitial = milliseconds(20);
-constexpr Duration kUsual = milliseconds(28);
+constexpr Duration kTypical = milliseconds(28);
 constexpr Duration kSlow = milliseconds(300);
 const MonotonicTime kStart(seconds(100));
 
-// One after the other, each sent when the one before it has ended.
+// Records `count` samples, each attempt sent when the one before it ended.
+// @return when the last attempt ended.
 MonotonicTime RecordInTurn(RecentLatency& latency, Duration sample, int count,
                            MonotonicTime sent) {
   for (int i = 0; i < count; ++i) {
@@ -21,19 +22,19 @@
   return sent;
 }
 
-TEST_CASE("a back end without samples is taken for what is assumed") {
+TEST_CASE("without samples the median is the assumed latency") {
   CHECK(RecentLatency().Median(kStart, kInitial) == kInitial);
 }
 
-TEST_CASE("one pause, or two, does not make a back end slow") {
+TEST_CASE("one or two slow samples do not change the median") {
   RecentLatency latency;
-  const MonotonicTime usual = RecordInTurn(latency, kUsual, 5, kStart);
-  const MonotonicTime end = RecordInTurn(latency, kSlow, 2, usual);
-  CHECK(latency.Median(end, kInitial) == kUsual);
+  const MonotonicTime typical = RecordInTurn(latency, kTypical, 5, kStart);
+  const MonotonicTime end = RecordInTurn(latency, kSlow, 2, typical);
+  CHECK(latency.Median(end, kInitial) == kTypical);
 }
 
-TEST_CASE("where answers are rare two of three decide") {
-  // Too far apart for five to come within RecentLatency::kOften.
+TEST_CASE("with rare answers two of three slow samples change the median") {
+  // Too far apart for five samples within RecentLatency::kFrequentWindow.
   constexpr Duration kInterval = milliseconds(500);
   RecentLatency latency;
   MonotonicTime now = kStart;
@@ -42,35 +43,36 @@
     now += kInterval;
   };
   for (int i = 0; i < 4; ++i) {
-    record(kUsual);
+    record(kTypical);
   }
   record(kSlow);
-  CHECK(latency.Median(now, kInitial) == kUsual);
+  CHECK(latency.Median(now, kInitial) == kTypical);
   record(kSlow);
   CHECK(latency.Median(now, kInitial) == kSlow);
 }
 
-TEST_CASE("all that are under way in a pause count as one") {
+TEST_CASE("all attempts in flight during one pause count as one sample") {
   RecentLatency latency;
-  const MonotonicTime usual = RecordInTurn(latency, kUsual, 5, kStart);
+  const MonotonicTime typical = RecordInTurn(latency, kTypical, 5, kStart);
   for (int i = 0; i < 5; ++i) {
-    latency.Record(kSlow, usual + milliseconds(i), usual + kSlow);
+    latency.Record(kSlow, typical + milliseconds(i), typical + kSlow);
   }
-  CHECK(latency.Median(usual + kSlow, kInitial) == kUsual);
+  CHECK(latency.Median(typical + kSlow, kInitial) == kTypical);
 }
 
-TEST_CASE("a back end that stays slow shows after three answers") {
+TEST_CASE("three slow samples change the median") {
   RecentLatency latency;
-  const MonotonicTime usual = RecordInTurn(latency, kUsual, 5, kStart);
-  const MonotonicTime end = RecordInTurn(latency, kSlow, 3, usual);
+  const MonotonicTime typical = RecordInTurn(latency, kTypical, 5, kStart);
+  const MonotonicTime end = RecordInTurn(latency, kSlow, 3, typical);
   CHECK(latency.Median(end, kInitial) == kSlow);
 }
 
-TEST_CASE("what is old is forgotten") {
+TEST_CASE("samples expire") {
   RecentLatency latency;
   const MonotonicTime end = RecordInTurn(latency, kSlow, 3, kStart);
   CHECK(latency.Median(end, kInitial) == kSlow);
-  CHECK(latency.Median(end + RecentLatency::kMemory, kInitial) == kInitial);
+  CHECK(latency.Median(end + RecentLatency::kSampleTimeToLive, kInitial) ==
+        kInitial);
 }
 
 }  // namespace
