--- a/source/common/forwarding/admission_queue.cc
+++ b/source/common/forwarding/admission_queue.cc
@@ -6,27 +6,27 @@
 
 void AdmissionQueue::Insert(const Entry& entry) {
   queues_[{entry.route, entry.priority}].emplace(entry.target_by, entry.number);
-  places_[entry.number] = entry;
+  entries_[entry.number] = entry;
 }
 
 bool AdmissionQueue::Remove(RequestNumber number) {
-  const auto place = places_.find(number);
-  if (place == places_.end()) {
+  const auto found = entries_.find(number);
+  if (found == entries_.end()) {
     return false;
   }
-  const Entry& entry = place->second;
+  const Entry& entry = found->second;
   const auto queue = queues_.find({entry.route, entry.priority});
   queue->second.erase({entry.target_by, number});
   if (queue->second.empty()) {
     queues_.erase(queue);
   }
-  places_.erase(place);
+  entries_.erase(found);
   return true;
 }
 
 std::optional<AdmissionQueue::Entry> AdmissionQueue::Next(
     MonotonicTime now, const std::set<std::string>& blocked) const {
-  // Late or not, then urgency, then the target.
+  // Compared in this order: whether the request is late, priority, target.
   using Rank = std::tuple<bool, std::uint32_t, MonotonicTime>;
   std::optional<Rank> best_rank;
   RequestNumber best = 0;
@@ -47,7 +47,7 @@
   if (!best_rank) {
     return std::nullopt;
   }
-  return places_.at(best);
+  return entries_.at(best);
 }
 
 }  // namespace juniperway::forwarding
--- a/source/common/forwarding/admission_queue.h
+++ b/source/common/forwarding/admission_queue.h
@@ -1,10 +1,11 @@
-// Requests that wait until enough back ends of their shards are free, and the
-// order in which they are admitted. Pure: time is an argument.
+// Queues the requests that wait until enough backends of their shards are free,
+// and decides the order in which they are admitted. ExchangeDispatcher owns the
+// queue. The class reads no clock: callers pass the current time.
 //
-// Work that can still be answered within its target goes first, because an
-// answer after the target is worth little; what is late already is worked off
-// behind it, the oldest first, before its deadline. Between routes the more
-// urgent one (Route::priority) goes first.
+// Requests that can still be answered within their target are admitted first,
+// because an answer after the target is worth little. Requests past their
+// target follow. Within each of these two groups, the lower priority value
+// (Route::priority) goes first, then the earlier target.
 #pragma once
 
 #include <cstddef>
@@ -19,43 +20,45 @@
 
 namespace juniperway::forwarding {
 
+// A priority queue of waiting requests; see the top of this file.
 class AdmissionQueue {
  public:
-  // Names a request within this process; never reused.
+  // Identifies a request within this process; never reused.
   using RequestNumber = std::uint64_t;
 
   struct Entry {
     RequestNumber number = 0;
-    // Requests of one route need the same services: when one cannot be
-    // admitted, the others of its route cannot either.
+    // Name of the route. Requests of one route need the same services: when one
+    // cannot be admitted, the others of its route cannot either.
     std::string route;
-    // Of the tenant or the route; 0 is the most urgent.
+    // Priority of the tenant or the route; 0 is the most urgent.
     std::uint32_t priority = 0;
-    // An answer after this is late.
+    // An answer after this time is late.
     MonotonicTime target_by;
   };
 
   void Insert(const Entry& entry);
-  // @return false if `number` does not wait here.
+  // @return false if no request with this number is queued.
   bool Remove(RequestNumber number);
 
-  // The request to admit next.
-  // @param blocked names of routes that are passed over.
-  // @return nothing when only blocked routes have waiting requests.
+  // @param blocked names of routes whose requests are skipped.
+  // @return the request to admit next; std::nullopt when only blocked routes
+  //   have queued requests.
   std::optional<Entry> Next(MonotonicTime now,
                             const std::set<std::string>& blocked) const;
 
-  std::size_t size() const { return places_.size(); }
-  bool empty() const { return places_.empty(); }
+  std::size_t size() const { return entries_.size(); }
+  bool empty() const { return entries_.empty(); }
 
  private:
   using Waiting = std::set<std::pair<MonotonicTime, RequestNumber>>;
-  // A route and a priority: tenants of one route may differ in it.
+  // Route name and priority: tenants of one route may have different
+  // priorities.
   using QueueKey = std::pair<std::string, std::uint32_t>;
 
-  // Only those with waiting requests.
+  // Holds no empty sets. Each set is ordered by target.
   std::map<QueueKey, Waiting> queues_;
-  std::map<RequestNumber, Entry> places_;
+  std::map<RequestNumber, Entry> entries_;
 };
 
 }  // namespace juniperway::forwarding
--- a/source/common/forwarding/crash_guard.h
+++ b/source/common/forwarding/crash_guard.h
@@ -1,9 +1,12 @@
-// What a router knows of requests that end the back ends which run them, and
-// how carefully it handles each because of that. Pure: time is an argument.
+// Tracks requests that crash the backends which run them, and decides how the
+// router handles each request. RouterServer owns the guard. The class reads no
+// clock: callers pass the current time.
 //
-// A request is suspected once back ends ended under it and none survived it.
-// The fleet's verdicts come with each view; what this router saw itself counts
-// until they do, and while it is cut off from control.
+// A request is suspected once kMinimumCrashedBackends backends have crashed
+// while they ran it and none has run it successfully. The control group's
+// verdicts arrive with each fleet view and take precedence. The router's own
+// observations apply until a verdict arrives, also while the router is
+// partitioned from the control group.
 #pragma once
 
 #include <cstddef>
@@ -18,54 +21,57 @@
 
 namespace juniperway::forwarding {
 
-// How a request is to be handled.
+// How the router handles a request.
 enum class Caution {
   kNone,
-  // One attempt at one back end goes first, and the others follow only where
-  // that back end survives.
+  // The router sends one attempt to one backend first, and further attempts
+  // only once that backend has answered successfully.
   kTrial,
-  // Nothing is sent.
+  // The router refuses the request.
   kRefuse,
 };
 
+// Decides per request fingerprint; see the top of this file.
 class CrashGuard {
  public:
-  // Requests that this router remembers by itself; the oldest go first. 64
-  // bytes and the ids of their back ends each.
-  static constexpr std::size_t kMaximumRemembered = 1024;
-  // Without further evidence: longer than control takes to learn of it, also
-  // where it first has to elect a leader.
-  static constexpr Duration kMemory = seconds(60);
-  // Back ends that have to end under a request before it is suspected. One or
-  // two may be a coincidence: a crash ends what else its back end was running.
-  static constexpr std::size_t kSuspectedAfter = 3;
+  // Bounds the router's own observations; the oldest is evicted first. Each
+  // takes 64 bytes and the ids of its backends.
+  static constexpr std::size_t kMaximumObservations = 1024;
+  // How long an observation counts without further evidence: longer than a
+  // crash report takes to become a verdict, including a leader election.
+  static constexpr Duration kObservationTimeToLive = seconds(60);
+  // Distinct backends that must crash while they run a request before it is
+  // suspected. One or two may be a coincidence: a crash also breaks the other
+  // requests that the backend was running.
+  static constexpr std::size_t kMinimumCrashedBackends = 3;
 
   void OnView(const session::FleetView& view);
 
-  // Back ends ended under the request, and none has survived it.
+  // The backends crashed while they ran the request, and none has survived it.
   void OnBackendsEnded(RequestFingerprint request,
                        const std::vector<std::string>& backends,
                        MonotonicTime now);
-  // A back end ran the request and went on.
-  // @return true when the request had been suspected, here or by the fleet.
+  // A backend answered the request successfully.
+  // @return true when this router had observed crashes under the request, or
+  //   the newest view lists it as crashing.
   bool OnSurvived(RequestFingerprint request);
 
   Caution CautionFor(RequestFingerprint request, MonotonicTime now) const;
 
-  // Requests that the fleet refuses.
+  // Number of requests that the newest view quarantines.
   std::size_t quarantined() const { return quarantined_; }
 
  private:
   struct Observation {
-    std::set<std::string> ended_backends;
+    std::set<std::string> crashed_backends;
     MonotonicTime latest;
   };
 
-  void ForgetOldest();
+  void EvictOldest();
 
-  std::map<RequestFingerprint, Observation> own_;
-  // Of the newest view.
-  CopyOnWriteMap<RequestFingerprint, session::CrashingRequest> fleet_;
+  std::map<RequestFingerprint, Observation> observations_;
+  // The crashing requests of the newest view.
+  CopyOnWriteMap<RequestFingerprint, session::CrashingRequest> fleet_verdicts_;
   std::size_t quarantined_ = 0;
 };
 
--- a/source/common/forwarding/crash_reporter.cc
+++ b/source/common/forwarding/crash_reporter.cc
@@ -11,19 +11,20 @@
 
 using logging::LogEvent;
 
-// Ten round trips between regions (24 ms): an address without anybody refuses
-// at once, and one that is silent tells nothing.
+// Ten round trips between regions (24 ms). An address without a listener
+// refuses at once; an unresponsive address shows nothing.
 constexpr Duration kCheckTimeout = milliseconds(250);
-// Over which kMaximumReportsPerSecond is counted.
+// Interval over which kMaximumReportsPerSecond is counted.
 constexpr Duration kReportInterval = seconds(1);
 
 }  // namespace
 
-// The back ends that were lost under one request, as far as they are checked.
-struct CrashReporter::Inquiry {
+// The checks of the backends that were lost under one request.
+struct CrashReporter::LossCheck {
   RequestFingerprint request;
   std::size_t unchecked = 0;
-  std::vector<std::string> ended;
+  // Incarnations at whose address no process listens any more.
+  std::vector<std::string> crashed;
 };
 
 CrashReporter::CrashReporter(asio::io_context& context, CrashGuard& guard,
@@ -41,55 +42,55 @@
     return;
   }
   if (evidence.lost.empty() ||
-      checks_ + evidence.lost.size() > kMaximumChecks) {
+      checks_in_flight_ + evidence.lost.size() > kMaximumChecks) {
     return;
   }
-  const auto inquiry = std::make_shared<Inquiry>();
-  inquiry->request = request;
-  inquiry->unchecked = evidence.lost.size();
-  checks_ += evidence.lost.size();
+  const auto check = std::make_shared<LossCheck>();
+  check->request = request;
+  check->unchecked = evidence.lost.size();
+  checks_in_flight_ += evidence.lost.size();
   for (const LostBackend& backend : evidence.lost) {
     net::CheckListener(context_, backend.address, kCheckTimeout,
-                       [this, alive = alive_, inquiry,
+                       [this, alive = alive_, check,
                         id = backend.incarnation](net::ListenerState state) {
                          if (!*alive) {
                            return;
                          }
-                         --checks_;
+                         --checks_in_flight_;
                          if (state == net::ListenerState::kGone) {
-                           inquiry->ended.push_back(id);
+                           check->crashed.push_back(id);
                          }
-                         if (--inquiry->unchecked == 0) {
-                           OnInquiryEnded(*inquiry);
+                         if (--check->unchecked == 0) {
+                           OnLossCheckEnded(*check);
                          }
                        });
   }
 }
 
-void CrashReporter::OnInquiryEnded(const Inquiry& inquiry) {
-  if (inquiry.ended.empty()) {
+void CrashReporter::OnLossCheckEnded(const LossCheck& check) {
+  if (check.crashed.empty()) {
     return;
   }
-  LogEvent(kBackendsEnded, {{"fingerprint", ToText(inquiry.request)},
-                            {"backends", inquiry.ended.size()},
-                            {"first", inquiry.ended.front()}});
-  guard_.OnBackendsEnded(inquiry.request, inquiry.ended, ReadMonotonicClock());
-  SendReport({.request = inquiry.request,
-              .ended_backends = inquiry.ended,
+  LogEvent(kBackendsCrashed, {{"fingerprint", ToText(check.request)},
+                              {"backends", check.crashed.size()},
+                              {"first", check.crashed.front()}});
+  guard_.OnBackendsEnded(check.request, check.crashed, ReadMonotonicClock());
+  SendReport({.request = check.request,
+              .ended_backends = check.crashed,
               .survived = false});
 }
 
 void CrashReporter::SendReport(const session::CrashReport& report) {
   const MonotonicTime now = ReadMonotonicClock();
-  if (now >= second_began_ + kReportInterval) {
-    second_began_ = now;
-    reports_ = 0;
+  if (now >= report_interval_start_ + kReportInterval) {
+    report_interval_start_ = now;
+    reports_in_interval_ = 0;
   }
-  if (reports_ >= kMaximumReportsPerSecond) {
+  if (reports_in_interval_ >= kMaximumReportsPerSecond) {
     LogEvent(kCrashReportLimited, {{"fingerprint", ToText(report.request)}});
     return;
   }
-  ++reports_;
+  ++reports_in_interval_;
   report_(report);
 }
 
--- a/source/common/forwarding/crash_reporter.h
+++ b/source/common/forwarding/crash_reporter.h
@@ -1,10 +1,10 @@
-// Turns what finished runs show of requests that end back ends into what the
-// router knows (CrashGuard) and what it reports to control.
+// Finds out which finished runs crashed backends, records that in the router's
+// CrashGuard and reports it to the control group. RouterServer owns the
+// reporter, which runs on the io_context's thread.
 //
-// A lost connection alone does not say that the back end has ended: it may have
-// closed the connection only. The reporter therefore looks whether anybody
-// still listens there, for runs that no back end has answered. Runs on the
-// io_context's thread.
+// A lost connection alone does not prove a crash: the backend may only have
+// closed the connection. For runs that no backend has answered, the reporter
+// therefore checks whether a process still listens at the backend's address.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -20,15 +20,17 @@
 
 namespace juniperway::forwarding {
 
+// Checks lost backends and reports crashes; see the top of this file.
 class CrashReporter {
  public:
-  // Checks under way; more lost connections at once come from the network or
-  // from overload, and are not looked into. About twice the shards of a query
-  // at the target size (520).
+  // Maximum number of checks in flight; about twice the shards of a query at
+  // the target size (520). More lost connections at once are caused by the
+  // network or by overload, and the reporter does not check them.
   static constexpr std::size_t kMaximumChecks = 1024;
 
-  // Reports to control; more are not sent. A request that ends back ends needs
-  // one for each of its tries.
+  // Maximum reports to the control group a second; the reporter drops the rest.
+  // A request that crashes backends needs one report for each time the client
+  // sends it.
   static constexpr std::size_t kMaximumReportsPerSecond = 20;
 
   using Report = std::function<void(const session::CrashReport&)>;
@@ -38,23 +40,23 @@
   CrashReporter(const CrashReporter&) = delete;
   CrashReporter& operator=(const CrashReporter&) = delete;
 
-  // A run of the request has ended.
+  // Called once for each run of the request that has ended.
   void OnRunEnded(RequestFingerprint request, const CrashEvidence& evidence);
 
  private:
-  struct Inquiry;
+  struct LossCheck;
 
-  void OnInquiryEnded(const Inquiry& inquiry);
+  void OnLossCheckEnded(const LossCheck& check);
   void SendReport(const session::CrashReport& report);
 
   asio::io_context& context_;
   CrashGuard& guard_;
   Report report_;
-  std::size_t checks_ = 0;
-  // Reports since the begin of a second.
-  MonotonicTime second_began_ = MonotonicTime::min();
-  std::size_t reports_ = 0;
-  // Callbacks that outlive this object find it gone.
+  std::size_t checks_in_flight_ = 0;
+  // Start of the current kReportInterval, and the reports sent in it.
+  MonotonicTime report_interval_start_ = MonotonicTime::min();
+  std::size_t reports_in_interval_ = 0;
+  // False once this object is destroyed; callbacks that outlive it hold a copy.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/source/common/forwarding/events.h
+++ b/source/common/forwarding/events.h
@@ -1,4 +1,5 @@
-// Log events of HTTP forwarding (3400-3499). Catalogue: docs/EVENTS.md.
+// Log events of HTTP forwarding, numbers 3400 to 3499. Catalogue:
+// docs/EVENTS.md.
 #pragma once
 
 #include "common/logging/event_log.h"
@@ -18,23 +19,23 @@
                                            Severity::kInfo};
 inline constexpr EventType kRouterDrained{3404, "router_drained",
                                           Severity::kInfo};
-inline constexpr EventType kRouteTableTaken{3405, "route_table_taken",
-                                            Severity::kInfo};
+inline constexpr EventType kRouteTableApplied{3405, "route_table_taken",
+                                              Severity::kInfo};
 inline constexpr EventType kZoneEvacuated{3406, "zone_evacuated",
                                           Severity::kWarning};
 inline constexpr EventType kZoneReturned{3407, "zone_returned",
                                          Severity::kInfo};
 inline constexpr EventType kCanariesShared{3408, "canaries_shared",
                                            Severity::kInfo};
-inline constexpr EventType kCanaryShareLapsed{3418, "canary_share_lapsed",
-                                              Severity::kWarning};
+inline constexpr EventType kCanaryShareExpired{3418, "canary_share_lapsed",
+                                               Severity::kWarning};
 inline constexpr EventType kCanaryShareRenewed{3419, "canary_share_renewed",
                                                Severity::kInfo};
 inline constexpr EventType kCrashReportLimited{
     3416, "crash_report_limited", Severity::kWarning, Volume::kRequest};
-// Volume kRequest: bounded, as other lines on single requests are.
-inline constexpr EventType kBackendsEnded{3415, "backends_ended",
-                                          Severity::kWarning, Volume::kRequest};
+// Volume kRequest: rate-limited like the other events about single requests.
+inline constexpr EventType kBackendsCrashed{
+    3415, "backends_ended", Severity::kWarning, Volume::kRequest};
 inline constexpr EventType kRequestRefused{3410, "request_refused",
                                            Severity::kInfo, Volume::kRequest};
 inline constexpr EventType kRequestEnded{3411, "request_ended", Severity::kInfo,
--- a/source/common/forwarding/exchange.cc
+++ b/source/common/forwarding/exchange.cc
@@ -38,9 +38,9 @@
   return "";
 }
 
-// Of the shards that are missing, this many are named: a scatter may have
-// hundreds.
-constexpr std::size_t kNamedShards = 8;
+// Maximum number of missing shards that a log line names: a scatter may have
+// hundreds of shards.
+constexpr std::size_t kMaximumNamedShards = 8;
 
 std::string DescribeShard(const MissingShard& shard) {
   std::string tried;
@@ -51,18 +51,20 @@
          (tried.empty() ? "none" : tried) + SuffixOf(shard.extra_refusal);
 }
 
-// "s4!:i-7+i-9,s5:none/no_backend,+3": the shards that are not in, the back
-// ends that were asked for each, and why no other one was; "s4!" when all of
-// them had failed, which come first; how many more there are.
+// Formats missing shards for the log: "s4!:i-7+i-9,s5:none/no_backend,+3". Each
+// entry has the shard, the backends that the router sent it to, and the reason
+// why there was no further attempt. "!" marks a shard whose attempts all
+// failed; these come first. "+3" counts the shards that are not named.
 std::string DescribeMissing(std::vector<MissingShard> missing) {
   std::stable_partition(missing.begin(), missing.end(),
                         [](const MissingShard& shard) { return shard.failed; });
   std::string text;
-  for (std::size_t i = 0; i < std::min(missing.size(), kNamedShards); ++i) {
+  for (std::size_t i = 0; i < std::min(missing.size(), kMaximumNamedShards);
+       ++i) {
     text += (text.empty() ? "" : ",") + DescribeShard(missing[i]);
   }
-  if (missing.size() > kNamedShards) {
-    text += ",+" + std::to_string(missing.size() - kNamedShards);
+  if (missing.size() > kMaximumNamedShards) {
+    text += ",+" + std::to_string(missing.size() - kMaximumNamedShards);
   }
   return text;
 }
@@ -92,7 +94,7 @@
   environment_.metrics.OnBegan();
   run_.Start(ReadMonotonicClock(), request_.elapsed_before);
   admitted_at_ = ReadMonotonicClock();
-  Pump();
+  CarryOutActions();
 }
 
 bool Exchange::Admit() {
@@ -101,11 +103,12 @@
     return false;
   }
   admitted_at_ = now;
-  Pump();
+  CarryOutActions();
   return true;
 }
 
-// A token that is used late would add to those that were granted later.
+// A request must not use an expired token: it would add to the tokens that were
+// granted later, and the tenant would exceed its limit.
 bool Exchange::HasToken(MonotonicTime now) {
   if (now > request_.token_until) {
     const auto renewed = environment_.renew_token(request_.limited_tenant);
@@ -116,15 +119,15 @@
 
 void Exchange::StopWaiting() {
   run_.StopWaiting(ReadMonotonicClock());
-  Pump();
+  CarryOutActions();
 }
 
 void Exchange::OnCapacity() {
   run_.OnCapacity(ReadMonotonicClock());
-  Pump();
+  CarryOutActions();
 }
 
-void Exchange::Pump() {
+void Exchange::CarryOutActions() {
   const auto alive = shared_from_this();
   for (const RunAction& action : run_.TakeActions()) {
     if (const auto* send = std::get_if<SendAction>(&action)) {
@@ -167,7 +170,7 @@
   }
   const int status = response.status;
   const std::string transport_error = response.transport_error;
-  const Duration under_way = ReadMonotonicClock() - sent;
+  const Duration attempt_elapsed = ReadMonotonicClock() - sent;
   AttemptEnd end = ReadBackendResponse(
       std::move(response), environment_.names,
       run_.IsScatter() ? AnswerUse::kMerged : AnswerUse::kPassedOn);
@@ -182,7 +185,7 @@
                               {"status", status},
                               {"error", transport_error},
                               {"connection_lost", end.connection_lost},
-                              {"after_ms", ToMilliseconds(under_way)},
+                              {"after_ms", ToMilliseconds(attempt_elapsed)},
                               {"fingerprint", Fingerprint()}});
   }
   environment_.metrics.OnAttemptEnded(end.result);
@@ -190,7 +193,7 @@
     environment_.metrics.OnCanaryAttemptEnded(end.result);
   }
   run_.OnEnded(action.attempt, std::move(end), ReadMonotonicClock());
-  Pump();
+  CarryOutActions();
   environment_.on_progress(*this);
 }
 
@@ -205,7 +208,7 @@
   over_ = true;
   timer_.cancel();
   run_.OnClientGone(now);
-  Pump();
+  CarryOutActions();
   environment_.metrics.OnEnded(RequestEnd::kClientGone, run_, /*missing=*/0,
                                now - request_.began);
   environment_.on_over(*this);
@@ -218,11 +221,11 @@
   over_ = true;
   timer_.cancel();
   run_.OnClientGone(ReadMonotonicClock());
-  Pump();
+  CarryOutActions();
   RunOutcome outcome;
   outcome.result =
       run_.attempts() == 0 ? RunResult::kNotRun : RunResult::kFailed;
-  outcome.reason = "this router stops";
+  outcome.reason = "this router is shutting down";
   Answer(std::move(outcome));
 }
 
@@ -241,7 +244,7 @@
     }
     self->timer_due_ = MonotonicTime::max();
     self->run_.OnTime(ReadMonotonicClock());
-    self->Pump();
+    self->CarryOutActions();
   });
 }
 
@@ -289,7 +292,7 @@
                            {"attempts", run_.attempts()},
                            {"hedges", run_.hedges()},
                            {"fingerprint", Fingerprint()},
-                           {"caller", request_.caller},
+                           {"caller", request_.client_address},
                            {"allowed_ms", ToMilliseconds(allowed)},
                            {"waited_ms", ToMilliseconds(waited)},
                            {"elapsed_ms", ToMilliseconds(elapsed)}});
--- a/source/common/forwarding/exchange.h
+++ b/source/common/forwarding/exchange.h
@@ -1,5 +1,7 @@
-// The I/O of one client's request: carries out what its RequestRun decides and
-// answers the client. Keeps itself alive while anything is under way.
+// Performs the I/O of one client's request: carries out the actions of its
+// RequestRun and answers the client. ExchangeDispatcher owns exchanges; the
+// callbacks of attempts in flight keep an exchange alive as well. Runs on the
+// io_context's thread.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -20,9 +22,11 @@
 
 namespace juniperway::forwarding {
 
+// One client's request from its arrival to its answer.
 class Exchange : public std::enable_shared_from_this<Exchange> {
  public:
-  // What exchanges of one router share; outlives them.
+  // The objects that all exchanges of one router share. RouterServer owns it;
+  // it outlives the exchanges.
   struct Environment {
     asio::io_context& context;
     net::HttpClient& client;
@@ -30,44 +34,50 @@
     RouterMetrics& metrics;
     HeaderNames names;
     RunOptions run_options;
-    // Takes another token of a tenant's limit for a request whose own was not
-    // used in time.
-    // @return until when it is to be used; nothing: there is none now.
+    // Takes another token of a tenant's limit for a request whose own token has
+    // expired.
+    // @return when the new token expires; std::nullopt when there is none.
     std::function<std::optional<MonotonicTime>(const std::string& tenant)>
         renew_token;
-    // What an exchange waits for may have changed, or an attempt has ended.
+    // Called after an attempt has ended: the exchange may now wait for other
+    // backends.
     std::function<void(const Exchange& exchange)> on_progress;
-    // An exchange is over: the client was answered or is gone.
+    // Called once the exchange is over: the client has its answer or has
+    // disconnected.
     std::function<void(const Exchange& exchange)> on_over;
   };
 
+  // A routed request. `number`, `route` and `table` are always set.
   struct Request {
     // Unique in this process, in the order of arrival.
     std::uint64_t number = 0;
     // Keeps `route` alive.
     routes::RouteTablePointer table;
     const routes::Route* route = nullptr;
-    // Of a split: the chosen part.
+    // The service that was chosen for a split route; empty for a scatter.
     std::string service;
-    // Of the tenant, or of the route where there is none.
+    // Priority of the tenant, or of the route when there is no tenant; 0 is the
+    // most urgent.
     std::uint32_t priority = 0;
-    // Of the tenant, besides the route's.
+    // The tenant's home regions, which apply in addition to the route's.
     routes::HomeRegions home_regions;
-    // The tenant whose limit it counts against; empty: none.
+    // The tenant whose rate limit applies; empty when none applies.
     std::string limited_tenant;
-    // The tenant's token that it holds must be used by then.
+    // When the request's token of the tenant's limit expires.
     MonotonicTime token_until = MonotonicTime::max();
     ForwardedRequest forwarded;
     RequestFingerprint fingerprint;
     // The client's address, without its port.
-    std::string caller;
-    // See RequestRun.
+    std::string client_address;
+    // Backends have crashed under this request before; see RequestRun.
     bool suspected = false;
-    // Of the view that it was routed by.
+    // Revision of the fleet view by which the request was routed.
     std::uint64_t revision = 0;
+    // When the request arrived at this router.
     MonotonicTime began;
     MonotonicTime deadline;
-    // How long before `began` the client asked for the first time.
+    // How long before `began` the client first sent the request, possibly to
+    // another router.
     Duration elapsed_before{};
   };
 
@@ -76,23 +86,24 @@
            std::shared_ptr<RouteLatency> latency);
 
   void Start();
-  // Of a request that waits for back ends: sends it if enough are free.
-  // @return false when it has to go on waiting.
+  // Sends a request that waits for backends, if enough of them are free.
+  // @return false when the request has to keep waiting.
   bool Admit();
-  // Of a request that waits for back ends: refuses it.
+  // Refuses a request that waits for backends.
   void StopWaiting();
-  // Back ends may have become free.
+  // Called when backends may have become free.
   void OnCapacity();
-  // Answers at once that nothing more is done (the end of a planned stop).
+  // Cancels the attempts in flight and answers the client at once. The router
+  // calls this at the end of its graceful shutdown.
   void Abandon();
 
   const Request& request() const { return request_; }
   const RequestRun& run() const { return run_; }
 
  private:
-  // Carries out the run's actions until there are none, answers when it is
-  // over, and arms the timer.
-  void Pump();
+  // Carries out the run's pending actions, then answers the client if the run
+  // is over, or else arms the timer.
+  void CarryOutActions();
   void Send(const SendAction& action);
   // @param sent when the attempt was started.
   void OnResponse(const SendAction& action, MonotonicTime sent,
@@ -101,9 +112,9 @@
   bool HasToken(MonotonicTime now);
   void ArmTimer();
   void Finish();
-  // Tells the client, the log and the metrics.
+  // Sends the client's answer, and updates the log and the metrics.
   void Answer(RunOutcome outcome);
-  // For the log.
+  // The request's fingerprint as text, for the log.
   std::string Fingerprint() const;
   void LogEnd(const RunOutcome& outcome, Duration elapsed) const;
 
@@ -113,12 +124,12 @@
   std::shared_ptr<RouteLatency> latency_;
   RequestRun run_;
   asio::steady_timer timer_;
-  // When the timer fires; max(): it is not armed. A deadline that moves back
-  // leaves it as it is, and the run then has nothing to do: most answers move
-  // the deadline, and each new time would cost a system call.
+  // When the timer fires; max() while it is not armed. A deadline that moves to
+  // a later time leaves the timer armed, and the run then does nothing when it
+  // fires: most answers move the deadline, and rearming costs a system call.
   MonotonicTime timer_due_ = MonotonicTime::max();
   std::map<AttemptId, net::HttpClient::RequestHandle> handles_;
-  // When the request was first sent, if it was.
+  // When the run was started or, if it had to wait, admitted.
   MonotonicTime admitted_at_;
   bool over_ = false;
 };
--- a/source/common/forwarding/exchange_dispatcher.cc
+++ b/source/common/forwarding/exchange_dispatcher.cc
@@ -6,8 +6,9 @@
 namespace juniperway::forwarding {
 namespace {
 
-// Back ends also become free without an event, when a pause after a shed or a
-// refused connection is over: shorter than the shortest of these pauses.
+// Backends also become free without an event, when their backoff after a shed
+// request or a refused connection ends; the interval is shorter than the
+// minimum backoff.
 constexpr Duration kDispatchInterval = milliseconds(5);
 
 }  // namespace
@@ -51,8 +52,8 @@
 }
 
 void ExchangeDispatcher::AbandonAll() {
-  const auto rest = exchanges_;
-  for (const auto& [number, exchange] : rest) {
+  const auto exchanges = exchanges_;
+  for (const auto& [number, exchange] : exchanges) {
     exchange->Abandon();
   }
 }
@@ -94,7 +95,8 @@
   }
 }
 
-// What was admitted goes first: its other shards are being worked on.
+// Runs before DispatchWaiting, because other shards of admitted requests are
+// already being processed.
 void ExchangeDispatcher::DispatchAdmitted() {
   const std::vector<RequestNumber> numbers(short_of_backends_.begin(),
                                            short_of_backends_.end());
--- a/source/common/forwarding/exchange_dispatcher.h
+++ b/source/common/forwarding/exchange_dispatcher.h
@@ -1,9 +1,9 @@
-// The exchanges of one router: keeps them alive while they are in flight, and
-// lets those that wait for back ends go on when some may have become free.
+// Owns the exchanges of one router while they are in flight, and resumes those
+// that wait for backends when some may have become free.
 //
-// Owns the exchanges and the order of what waits (AdmissionQueue). Runs on the
-// io_context's thread. Waiting exchanges go on only from its own timer, never
-// inside a call of OnProgress or OnOver.
+// RouterServer owns the dispatcher, which runs on the io_context's thread. An
+// AdmissionQueue orders the waiting exchanges. The dispatcher resumes them only
+// from its own timer, never inside a call of OnProgress or OnOver.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -19,30 +19,33 @@
 
 namespace juniperway::forwarding {
 
+// Starts, resumes and releases exchanges; see the top of this file.
 class ExchangeDispatcher {
  public:
-  // More waiting requests are refused at once.
+  // Maximum number of waiting requests; the dispatcher refuses further ones at
+  // once.
   static constexpr std::size_t kMaximumWaiting = 512;
 
   explicit ExchangeDispatcher(asio::io_context& context);
 
-  // Starts an exchange and keeps it until OnOver.
+  // Starts an exchange and owns it until OnOver.
   void Start(const std::shared_ptr<Exchange>& exchange);
 
-  // For Exchange::Environment: an attempt has ended, or the exchange has.
+  // Called from Exchange::Environment: an attempt of the exchange has ended, or
+  // the exchange is over.
   void OnProgress(const Exchange& exchange);
   void OnOver(const Exchange& exchange);
 
-  // Answers everything in flight at once (the end of a planned stop).
+  // Abandons every exchange in flight, at the end of a graceful shutdown.
   void AbandonAll();
 
   std::size_t in_flight() const { return exchanges_.size(); }
 
  private:
-  // Keeps short_of_backends_ up to date for this exchange.
+  // Updates short_of_backends_ for this exchange.
   void TrackShortage(const Exchange& exchange);
   bool IsAnythingWaiting() const;
-  // Dispatches after `delay`, or earlier if that is due already.
+  // Calls Dispatch after `delay`, or earlier if an earlier call is scheduled.
   void ScheduleDispatch(Duration delay);
   void Dispatch();
   void DispatchAdmitted();
@@ -52,10 +55,10 @@
 
   asio::steady_timer timer_;
   MonotonicTime next_dispatch_ = MonotonicTime::max();
-  // By number: in the order of arrival.
+  // By number, which is the order of arrival.
   std::map<RequestNumber, std::shared_ptr<Exchange>> exchanges_;
   AdmissionQueue admission_;
-  // Admitted, with shards that wait for a back end.
+  // Admitted exchanges with shards that wait for a backend.
   std::set<RequestNumber> short_of_backends_;
 };
 
--- a/source/common/forwarding/fingerprint_request.cc
+++ b/source/common/forwarding/fingerprint_request.cc
@@ -11,18 +11,18 @@
 RequestFingerprint FingerprintOf(const net::HttpRequest& request,
                                  const std::string& tenant) {
   std::uint64_t hash = 0;
-  // Each part's hash is the seed of the next one's, so that bytes which move
-  // from one part to its neighbour change the result.
-  const auto add = [&hash](std::string_view part) {
-    hash = XXH3_64bits_withSeed(part.data(), part.size(), hash);
+  // The hash of each field seeds the hash of the next one, so that bytes which
+  // move from one field to the next change the result.
+  const auto add = [&hash](std::string_view field) {
+    hash = XXH3_64bits_withSeed(field.data(), field.size(), hash);
   };
   add(request.method);
   add(ToLower(request.Header("host").value_or("")));
   add(request.target);
   add(request.body);
-  // Who asks, as far as the request says so. Not the client's address: a caller
-  // repeats a request from any of its machines, and each would then end back
-  // ends anew.
+  // The client's identity, but not its address: a client may send a request
+  // again from another host, where a new fingerprint would let it crash
+  // backends anew.
   add(tenant.empty() ? request.Header("authorization").value_or("") : tenant);
   return {hash};
 }
--- a/source/common/forwarding/fingerprint_request.h
+++ b/source/common/forwarding/fingerprint_request.h
@@ -1,4 +1,5 @@
-// Computes the fingerprint of a client's request.
+// Computes the fingerprint by which routers recognize a request that a client
+// sends again.
 #pragma once
 
 #include <string>
@@ -8,8 +9,9 @@
 
 namespace juniperway::forwarding {
 
-// @param tenant of the request; empty: it has none, and its credentials tell
-//   who asks. A tenant's keys are exchanged while its requests stay the same.
+// @param tenant name of the request's tenant. When it is empty, the credentials
+//   identify the client. The tenant is preferred because its keys may be
+//   rotated while its requests stay the same.
 RequestFingerprint FingerprintOf(const net::HttpRequest& request,
                                  const std::string& tenant = "");
 
--- a/source/common/forwarding/message_codec.cc
+++ b/source/common/forwarding/message_codec.cc
@@ -22,19 +22,19 @@
 constexpr int kStatusBadGateway = 502;
 constexpr int kStatusUnavailable = 503;
 constexpr int kStatusTimedOut = 504;
-// When a refused client should come back: what is in the way (back ends that
-// restart, full queues) is seldom over at once, and a client has few tries.
+// When a refused client should send its request again. The causes (backends
+// that restart, full queues) rarely end at once, and a client has few retries.
 constexpr Duration kRetryAfter = milliseconds(500);
-// To open a connection to a back end: many times the way to another region;
-// one that is not there by then hangs.
+// Timeout to open a connection to a backend: many times the round trip to
+// another region. The router treats a slower backend as unreachable.
 constexpr Duration kConnectTimeout = milliseconds(400);
-// The run ends an attempt at its deadline; the transfer's own timer lies behind
-// that and only bounds a fault of it.
-constexpr Duration kTransferSlack = seconds(1);
-constexpr std::uint64_t kLongestDeadlineMs = 24ULL * 3600 * 1000;
+// RequestRun cancels an attempt at its deadline. The HTTP client's own timeout
+// is this much later and takes effect only if RequestRun fails to cancel.
+constexpr Duration kTransferTimeoutMargin = seconds(1);
+constexpr std::uint64_t kMaximumDeadlineMs = 24ULL * 3600 * 1000;
 
-// Headers that concern one connection only, and the length, which the sending
-// side writes itself.
+// Whether a header applies to one connection only. The content length is
+// included, because each sender writes its own.
 bool IsConnectionHeader(std::string_view name) {
   static constexpr std::array<std::string_view, 11> kNames = {
       "connection",          "keep-alive", "proxy-authenticate",
@@ -48,8 +48,8 @@
 
 using Fields = std::vector<std::pair<std::string, std::string>>;
 
-// Headers that "Connection" names, in lower case.
-std::set<std::string> NamedByConnection(const Fields& fields) {
+// Names listed in the "Connection" headers, in lower case.
+std::set<std::string> ConnectionHeaderTokens(const Fields& fields) {
   std::set<std::string> names;
   for (const auto& [name, value] : fields) {
     if (!EqualsIgnoringCase(name, "connection")) {
@@ -69,12 +69,12 @@
 }
 
 Fields EndToEndFields(const Fields& fields) {
-  const std::set<std::string> named = NamedByConnection(fields);
+  const std::set<std::string> named = ConnectionHeaderTokens(fields);
   Fields kept;
   for (const auto& field : fields) {
-    const bool named_hop =
+    const bool is_hop_by_hop =
         !named.empty() && named.contains(ToLower(field.first));
-    if (!named_hop && !IsConnectionHeader(field.first)) {
+    if (!is_hop_by_hop && !IsConnectionHeader(field.first)) {
       kept.push_back(field);
     }
   }
@@ -89,7 +89,8 @@
 
 bool IsSuccess(int status) { return status >= 200 && status < 300; }
 
-// @param retry_after zero: the client is not told when to come back.
+// Makes an answer with a JSON error body.
+// @param retry_after zero omits the Retry-After header.
 net::HttpResponse MakeFailure(int status, const char* code,
                               const std::string& message,
                               Duration retry_after = Duration(0)) {
@@ -145,21 +146,21 @@
   if (parsed.ec != std::errc() || parsed.ptr != end) {
     return std::nullopt;
   }
-  return milliseconds(std::min(value, kLongestDeadlineMs));
+  return milliseconds(std::min(value, kMaximumDeadlineMs));
 }
 
 std::size_t HeaderBytes(const net::HttpRequest& request) {
-  constexpr std::size_t kLineExtra = 4;  // ": " and the line's end
+  constexpr std::size_t kLineOverhead = 4;  // ": " and CRLF
   std::size_t bytes = request.method.size() + request.target.size();
   for (const auto& [name, value] : request.fields) {
-    bytes += name.size() + value.size() + kLineExtra;
+    bytes += name.size() + value.size() + kLineOverhead;
   }
   return bytes;
 }
 
 ForwardedRequest MakeForwardedRequest(const net::HttpRequest& request,
                                       const HeaderNames& names,
-                                      const CallerIdentity& caller) {
+                                      const ClientIdentity& client) {
   ForwardedRequest forwarded;
   forwarded.method = request.method;
   forwarded.target = request.target;
@@ -169,14 +170,14 @@
     return EqualsIgnoringCase(field.first, names.deadline) ||
            EqualsIgnoringCase(field.first, names.expected_backend);
   });
-  if (caller.is_checked) {
+  if (client.is_checked) {
     std::erase_if(forwarded.headers, [&names](const auto& field) {
       return EqualsIgnoringCase(field.first, routes::kCredentialsHeader) ||
              EqualsIgnoringCase(field.first, names.tenant);
     });
   }
-  if (!caller.tenant.empty()) {
-    forwarded.headers.emplace_back(names.tenant, caller.tenant);
+  if (!client.tenant.empty()) {
+    forwarded.headers.emplace_back(names.tenant, client.tenant);
   }
   forwarded.request_id = request.Header(ToLower(names.request_id)).value_or("");
   return forwarded;
@@ -194,19 +195,20 @@
   forwarded.only_given_headers = true;
   forwarded.headers.reserve(request.headers.size() + 2);
   forwarded.headers = request.headers;
-  const Duration left =
+  const Duration remaining =
       std::max(Duration(action.deadline - now), Duration(milliseconds(1)));
   forwarded.headers.emplace_back(names.deadline,
-                                 std::to_string(ToMilliseconds(left)));
+                                 std::to_string(ToMilliseconds(remaining)));
   forwarded.headers.emplace_back(names.expected_backend, action.backend);
   if (!request.request_id.empty()) {
     forwarded.echoed_header = names.request_id;
     forwarded.echoed_value = request.request_id;
-    // Back ends send an answer late at times, in the place of the next one.
+    // A backend may send a late answer in place of the answer to the next
+    // request on the connection.
     forwarded.echo_required = action.names_request;
   }
   forwarded.connect_timeout = kConnectTimeout;
-  forwarded.timeout = left + kTransferSlack;
+  forwarded.timeout = remaining + kTransferTimeoutMargin;
   return forwarded;
 }
 
@@ -233,7 +235,7 @@
     return end;
   }
   const std::string* signature = Find(response.headers, names.signature);
-  // No encoding was asked for: such a body is not the back end's.
+  // The router requested no encoding, so an encoded body is not the backend's.
   const bool encoded = Find(response.headers, "content-encoding") != nullptr;
   if (signature == nullptr || signature->empty() || encoded) {
     end.result = AttemptResult::kBroken;
--- a/source/common/forwarding/message_codec.h
+++ b/source/common/forwarding/message_codec.h
@@ -1,5 +1,6 @@
-// HTTP messages of forwarding: what of a client's request goes to a back end,
-// what a back end's answer means, and what the client gets. Pure.
+// Converts HTTP messages: a client's request into the requests to backends, a
+// backend's answer into the result of an attempt, and the outcome of a run into
+// the client's answer. Pure functions and values.
 #pragma once
 
 #include <cstddef>
@@ -17,64 +18,69 @@
 
 namespace juniperway::forwarding {
 
-// The path of a request target: "/a/b" of "/a/b?c=d".
+// Returns the path of a request target: "/a/b" for "/a/b?c=d".
 std::string_view PathOf(std::string_view target);
 
-// The whole milliseconds of a deadline header; nothing when it is malformed.
+// Parses a deadline header, which has whole milliseconds.
+// @return std::nullopt when it is malformed.
 std::optional<Duration> ParseDeadline(const std::string& text);
 
-// Bytes of the request line and the headers, about as they were sent.
+// Approximate size of the request line and the headers on the wire.
 std::size_t HeaderBytes(const net::HttpRequest& request);
 
-// What all back ends that are asked for one request get alike.
+// The content of a client's request that all its attempts share.
 struct ForwardedRequest {
   std::string method;
   std::string target;
   std::string body;
-  // Without those of the client's connection, the deadline and the expected
-  // back end.
+  // Without the headers of the client's connection, the deadline and the
+  // expected backend.
   std::vector<std::pair<std::string, std::string>> headers;
-  // As the client sent it; empty: it sent none.
+  // As the client sent it; empty when the client sent none.
   std::string request_id;
 };
 
-// Who sent a request, as far as its back end may know.
-struct CallerIdentity {
-  // The route table has tenants: the client's credentials and what it says of
-  // its tenant are withheld.
+// What backends learn about the client of a request.
+struct ClientIdentity {
+  // The route table has tenants. Backends then get neither the client's
+  // credentials nor the tenant name that the client claims.
   bool is_checked = false;
-  // Empty: none.
+  // Name of the verified tenant; empty when there is none.
   std::string tenant;
 };
+// Extracts the content that backends get from the client's request.
 ForwardedRequest MakeForwardedRequest(const net::HttpRequest& request,
                                       const HeaderNames& names,
-                                      const CallerIdentity& caller = {});
+                                      const ClientIdentity& client = {});
 
-// The request for one back end, with its deadline and the expected back end.
+// Makes the request to one backend, with the remaining time and the expected
+// backend.
 net::HttpClientRequest MakeBackendRequest(const ForwardedRequest& request,
                                           const SendAction& action,
                                           const HeaderNames& names,
                                           MonotonicTime now);
 
-// What becomes of a back end's answer.
+// How the router uses a backend's answer.
 enum class AnswerUse {
-  kPassedOn,  // The client gets it with its headers.
-  kMerged,    // Only its signature and body count.
+  kPassedOn,  // The client gets the answer with its headers.
+  kMerged,    // The router uses only the signature and the body.
 };
 
-// How an attempt ended, from what came back.
+// Derives the result of an attempt from the response or transport error.
 AttemptEnd ReadBackendResponse(net::HttpClientResponse response,
                                const HeaderNames& names, AnswerUse use);
 
-// The client's answer.
+// Makes the client's answer.
 net::HttpResponse MakeClientResponse(RunOutcome outcome,
                                      const HeaderNames& names);
 
-// A refusal: nothing ran. The client should come back after `retry_after`.
+// Makes the answer that refuses a request which did not run.
+// @param retry_after when the client should send the request again.
 net::HttpResponse MakeRefusal(Duration retry_after, const std::string& message);
 
-// Beyond a tenant's limit: nothing ran. The client should come back after
-// `retry_after`.
+// Makes the answer that refuses a request beyond its tenant's limit, which did
+// not run.
+// @param retry_after when the client should send the request again.
 net::HttpResponse MakeLimitRefusal(Duration retry_after);
 
 }  // namespace juniperway::forwarding
--- a/source/common/forwarding/request_run.cc
+++ b/source/common/forwarding/request_run.cc
@@ -9,30 +9,30 @@
 namespace juniperway::forwarding {
 namespace {
 
-// Attempts that a back end did not run (shed, or no connection) do not count
-// towards the route's maximum; at most this many of them are made for a shard.
+// Attempts that a backend did not run (shed, misplaced or unsent) do not count
+// towards the route's maximum. This bounds how many of them a shard may add to
+// that maximum.
 constexpr std::size_t kMaximumUnrunAttempts = 2;
-// A hedge that the budget refused is asked for again after this.
+// Delay until a hedge that could not be sent is tried again.
 constexpr Duration kHedgeRetryDelay = milliseconds(20);
-// Back ends that are lost under a request, while none has answered it, before
-// no more of them are risked than one: a scatter that ends its back ends would
-// otherwise go on to the next replica of each shard (8 of 12 back ends asked by
-// one try before, 5 with this; integration.forwarding/crashing_requests).
+// Lost backends, while none has answered, after which the run risks only one
+// more backend. A scatter that crashes backends would otherwise go on to the
+// next replica of each shard and reach 8 instead of 5 of 12 backends
+// (integration.forwarding/crashing_requests).
 constexpr std::size_t kSuspectedAfterLost = 3;
-// A router whose loop comes to a hedge later than this has work of its own
-// left: answers that have arrived and are not read yet, requests that are not
-// sent. Hedges then add to what makes it late. A fleet of 985 routers with 0.12
-// of a core opened 192,295 connections for 138,455 requests that reached a back
-// end on a quiet day (simulated), some of the difference hedges that were
-// given up before they were sent (not counted apart). A loop with time is late
-// by under a millisecond; reading an answer takes 0.3 ms of such a core.
-constexpr Duration kBehindAfter = milliseconds(4);
-// It looks again after as long as it was late, but soon enough for a target of
-// 100 ms.
-constexpr Duration kLongestCatchUp = milliseconds(20);
-// Shortest wait before a hedge.
-constexpr Duration kShortestHedgeDelay = milliseconds(5);
-// Nine of ten hedges are answered as fast, their connections included.
+// A router that processes a due hedge later than this is itself overloaded: it
+// has not yet read answers that have arrived, or not yet sent earlier requests.
+// Hedges add to that load. Without this limit, routers opened 192,295
+// connections for 138,455 requests that reached a backend, in part for hedges
+// that were cancelled before they were sent. An event loop without backlog is
+// less than 1 ms late; reading an answer takes 0.3 ms at 0.12 of a core.
+constexpr Duration kMaximumHedgeLateness = milliseconds(4);
+// An overloaded router checks the hedge again after a delay equal to its
+// lateness, up to this maximum, which suits a target of 100 ms.
+constexpr Duration kMaximumHedgeRecheckDelay = milliseconds(20);
+constexpr Duration kMinimumHedgeDelay = milliseconds(5);
+// Quantile of hedge latencies, including connection setup, that the hedge delay
+// must leave before the target.
 constexpr double kHedgeLatencyQuantile = 0.9;
 
 Duration Scaled(Duration duration, double factor) {
@@ -40,7 +40,8 @@
       static_cast<double>(duration.count()) * factor));
 }
 
-// Numbers attempts over all runs of the process, which has one loop.
+// Unique across all runs of the process. Not synchronized: the process has one
+// event loop.
 AttemptId NextAttemptId() {
   static AttemptId last = 0;
   return ++last;
@@ -85,7 +86,7 @@
   deadline_ = std::min(deadline_, now + route_.timeout);
   target_by_ = now + route_.target - elapsed_before;
   wait_until_ =
-      now + Scaled(Duration(deadline_ - now), options_.longest_wait_share);
+      now + Scaled(Duration(deadline_ - now), options_.maximum_wait_share);
   Admit(now);
 }
 
@@ -99,24 +100,25 @@
   }
   const std::size_t required = IsScatter() ? RequiredShards() : 1;
   if (usable + busy < required) {
-    // Where too few shards can be asked, none is: the client may come back.
-    Finish(RunResult::kNotRun, "too few shards have back ends", now);
+    // The run sends nothing, so that the client may send the request again.
+    Finish(RunResult::kNotRun, "too few shards have backends", now);
     return true;
   }
   if (usable < required) {
     return false;
   }
   admitted_ = true;
-  // A request that is late already still gets half of a target to complete.
+  // A request that is already late still gets half of the target to complete.
   answer_by_ = std::max(target_by_ - AnswerMargin(), now + route_.target / 2);
-  // A fresh request is given up early enough for its client to try again; one
-  // that is late already has most likely used up its client's tries.
+  // A request that is not late stops waiting early enough for its client to
+  // send it again. The client of a late request has most likely used up its
+  // retries.
   shards_wait_until_ = target_by_ < now ? wait_until_ : now + route_.target;
   for (Shard& shard : shards_) {
     pool_.OnFirstRequest(shard.service, now);
     SendOrWait(shard, now);
   }
-  ResumeHeld(now);
+  ResumeShardsAwaitingEvidence(now);
   Evaluate(now);
   return true;
 }
@@ -140,7 +142,7 @@
       SendOrWait(shard, now);
     }
   }
-  ResumeHeld(now);
+  ResumeShardsAwaitingEvidence(now);
   Evaluate(now);
 }
 
@@ -158,7 +160,7 @@
     shard.extra_refusal = ExtraRefusal::kNoBackend;
     return false;
   }
-  const bool extra = shard.arrived || !shard.under_way.empty();
+  const bool extra = shard.may_have_arrived || !shard.in_flight.empty();
   if (extra && !pool_.TakeExtra(shard.service, now)) {
     shard.extra_refusal = ExtraRefusal::kBudget;
     return false;
@@ -166,8 +168,8 @@
   shard.extra_refusal = ExtraRefusal::kNone;
   const AttemptId attempt = NextAttemptId();
   const std::string& id = backend->info.id;
-  const bool hedge = !shard.under_way.empty();
-  shard.under_way.push_back({.id = attempt,
+  const bool hedge = !shard.in_flight.empty();
+  shard.in_flight.push_back({.id = attempt,
                              .backend = id,
                              .incarnation = IncarnationName(backend->info),
                              .address = backend->info.address,
@@ -193,7 +195,7 @@
 void RequestRun::SendOrWait(Shard& shard, MonotonicTime now) {
   shard.waits_for_backend = false;
   if (IsSuspected() || MustAwaitAnswer()) {
-    Hold(shard);
+    AwaitEvidence(shard);
   } else if (!Send(shard, now)) {
     WaitOrFail(shard, now);
   }
@@ -207,7 +209,7 @@
   shard.failed = !shard.waits_for_backend;
 }
 
-// --- Requests that may end back ends -----------------------------------------
+// --- Requests that may crash backends ----------------------------------------
 
 bool RequestRun::IsSuspected() const {
   const bool suspected =
@@ -217,18 +219,18 @@
 
 bool RequestRun::MustAwaitAnswer() const {
   return !crash_evidence_.lost.empty() && !crash_evidence_.survived &&
-         IsAnythingUnderWay();
+         HasAttemptInFlight();
 }
 
-bool RequestRun::IsAnythingUnderWay() const {
+bool RequestRun::HasAttemptInFlight() const {
   return std::ranges::any_of(
-      shards_, [](const Shard& shard) { return !shard.under_way.empty(); });
+      shards_, [](const Shard& shard) { return !shard.in_flight.empty(); });
 }
 
-void RequestRun::NoteCrashEvidence(const Attempt& attempt,
-                                   const AttemptEnd& end) {
-  // Not a failure: a back end that fails requests may do so before it runs
-  // them.
+void RequestRun::RecordCrashEvidence(const Attempt& attempt,
+                                     const AttemptEnd& end) {
+  // An error answer does not count: a backend may send it before it runs the
+  // request.
   crash_evidence_.survived |= end.result == AttemptResult::kAnswered;
   if (end.connection_lost) {
     crash_evidence_.lost.push_back({attempt.incarnation, attempt.address});
@@ -238,7 +240,7 @@
     case AttemptResult::kMisplaced:
     case AttemptResult::kUnsent:
     case AttemptResult::kRefused:
-      // It did not run, and shows nothing.
+      // The backend did not run the request, so the trial showed nothing.
       trial_sent_ = false;
       break;
     case AttemptResult::kAnswered:
@@ -250,19 +252,19 @@
   }
 }
 
-void RequestRun::Hold(Shard& shard) {
-  shard.held = true;
+void RequestRun::AwaitEvidence(Shard& shard) {
+  shard.awaits_evidence = true;
   shard.next_hedge = MonotonicTime::max();
-  ++held_shards_;
+  ++shards_awaiting_evidence_;
 }
 
 void RequestRun::SendTrial(MonotonicTime now) {
   for (Shard& shard : shards_) {
-    if (!shard.held) {
+    if (!shard.awaits_evidence) {
       continue;
     }
-    shard.held = false;
-    --held_shards_;
+    shard.awaits_evidence = false;
+    --shards_awaiting_evidence_;
     trial_sent_ = Send(shard, now);
     if (trial_sent_) {
       return;
@@ -271,20 +273,20 @@
   }
 }
 
-void RequestRun::ResumeHeld(MonotonicTime now) {
-  if (over_ || held_shards_ == 0) {
+void RequestRun::ResumeShardsAwaitingEvidence(MonotonicTime now) {
+  if (over_ || shards_awaiting_evidence_ == 0) {
     return;
   }
-  if (!crash_evidence_.survived && IsAnythingUnderWay()) {
+  if (!crash_evidence_.survived && HasAttemptInFlight()) {
     return;
   }
   if (IsSuspected() && !trial_sent_) {
     SendTrial(now);
     return;
   }
-  held_shards_ = 0;
+  shards_awaiting_evidence_ = 0;
   for (Shard& shard : shards_) {
-    if (!std::exchange(shard.held, false)) {
+    if (!std::exchange(shard.awaits_evidence, false)) {
       continue;
     }
     if (IsSuspected()) {
@@ -302,32 +304,35 @@
          options_.part_margin * static_cast<Duration::rep>(shards_.size());
 }
 
-Duration RequestRun::LatestHedgeDelay() const {
-  const Duration earliest =
-      Scaled(route_.target, options_.earliest_hedge_share);
-  const Duration latest = Scaled(route_.target, options_.latest_hedge_share);
+Duration RequestRun::MaximumHedgeDelay() const {
+  const Duration minimum =
+      Scaled(route_.target, options_.minimum_hedge_delay_share);
+  const Duration maximum =
+      Scaled(route_.target, options_.maximum_hedge_delay_share);
   const auto hedge = latency_.hedges.Quantile(kHedgeLatencyQuantile);
   if (!hedge) {
-    return earliest;
+    return minimum;
   }
   const Duration in_time = route_.target - AnswerMargin() - *hedge;
-  return std::clamp(in_time, earliest, latest);
+  return std::clamp(in_time, minimum, maximum);
 }
 
 Duration RequestRun::HedgeDelay() const {
-  const auto usual = latency_.attempts.Quantile(options_.hedge_quantile);
-  const Duration latest = LatestHedgeDelay();
-  return std::max(kShortestHedgeDelay,
-                  usual ? std::min(*usual, latest) : latest);
+  const auto typical = latency_.attempts.Quantile(options_.hedge_quantile);
+  const Duration maximum = MaximumHedgeDelay();
+  return std::max(kMinimumHedgeDelay,
+                  typical ? std::min(*typical, maximum) : maximum);
 }
 
-bool RequestRun::MayRepeat(const Shard& shard) const {
-  const std::size_t tries = route_.maximum_attempts + kMaximumUnrunAttempts;
-  return shard.runs < route_.maximum_attempts && shard.tried.size() < tries;
+bool RequestRun::MaySendAgain(const Shard& shard) const {
+  const std::size_t maximum_sent =
+      route_.maximum_attempts + kMaximumUnrunAttempts;
+  return shard.runs < route_.maximum_attempts &&
+         shard.tried.size() < maximum_sent;
 }
 
 void RequestRun::Hedge(Shard& shard, MonotonicTime now) {
-  if (!route_.repeatable || !MayRepeat(shard)) {
+  if (!route_.repeatable || !MaySendAgain(shard)) {
     shard.next_hedge = MonotonicTime::max();
     return;
   }
@@ -338,13 +343,12 @@
   }
 }
 
-// After an attempt of the shard ended without an answer.
 void RequestRun::Retry(Shard& shard, MonotonicTime now) {
-  if (!shard.under_way.empty()) {
-    if (MayRepeat(shard) && !IsSuspected()) {
+  if (!shard.in_flight.empty()) {
+    if (MaySendAgain(shard) && !IsSuspected()) {
       Send(shard, now);
     }
-  } else if (MayRepeat(shard)) {
+  } else if (MaySendAgain(shard)) {
     SendOrWait(shard, now);
   } else {
     shard.failed = true;
@@ -357,16 +361,16 @@
   }
   for (Shard& shard : shards_) {
     const auto found =
-        std::ranges::find(shard.under_way, attempt, &Attempt::id);
-    if (found == shard.under_way.end()) {
+        std::ranges::find(shard.in_flight, attempt, &Attempt::id);
+    if (found == shard.in_flight.end()) {
       continue;
     }
     const Attempt ended = *found;
-    shard.under_way.erase(found);
-    NoteCrashEvidence(ended, end);
-    NoteEnd(ended, end.result, now);
-    shard.arrived |= end.result != AttemptResult::kUnsent &&
-                     end.result != AttemptResult::kRefused;
+    shard.in_flight.erase(found);
+    RecordCrashEvidence(ended, end);
+    ReportAttemptEnd(ended, end.result, now);
+    shard.may_have_arrived |= end.result != AttemptResult::kUnsent &&
+                              end.result != AttemptResult::kRefused;
     sheds_ += end.result == AttemptResult::kShed ? 1 : 0;
     switch (end.result) {
       case AttemptResult::kAnswered:
@@ -378,12 +382,12 @@
           latency_.hedges.Record(now - ended.sent);
         }
         may_have_run_ = true;
-        shard.in = true;
+        shard.answered = true;
         shard.answer = std::move(end.answer);
-        CancelUnderWay(shard, now);
+        CancelInFlight(shard, now);
         break;
       case AttemptResult::kRefused:
-        // Nothing was sent: it may be asked again after its pause.
+        // Nothing was sent: the backend may get the request after its backoff.
         std::erase(shard.tried, ended.backend);
         [[fallthrough]];
       case AttemptResult::kUnsent:
@@ -402,13 +406,13 @@
         if (route_.repeatable) {
           Retry(shard, now);
         } else {
-          shard.failed = shard.under_way.empty();
+          shard.failed = shard.in_flight.empty();
         }
         break;
     }
     break;
   }
-  ResumeHeld(now);
+  ResumeShardsAwaitingEvidence(now);
   Evaluate(now);
 }
 
@@ -418,19 +422,19 @@
   }
   if (!admitted_) {
     if (now >= wait_until_) {
-      Finish(RunResult::kNotRun, "no back end became free in time", now);
+      Finish(RunResult::kNotRun, "no backend became free in time", now);
     }
     return;
   }
   for (Shard& shard : shards_) {
-    const bool open =
-        !shard.in && !shard.failed && !shard.held && !shard.waits_for_backend;
+    const bool open = !shard.answered && !shard.failed &&
+                      !shard.awaits_evidence && !shard.waits_for_backend;
     if (!open || now < shard.next_hedge) {
       continue;
     }
-    const Duration behind = now - shard.next_hedge;
-    if (behind > kBehindAfter) {
-      shard.next_hedge = now + std::min(behind, kLongestCatchUp);
+    const Duration lateness = now - shard.next_hedge;
+    if (lateness > kMaximumHedgeLateness) {
+      shard.next_hedge = now + std::min(lateness, kMaximumHedgeRecheckDelay);
     } else {
       Hedge(shard, now);
     }
@@ -447,21 +451,21 @@
 
 void RequestRun::CancelAll(MonotonicTime now) {
   for (Shard& shard : shards_) {
-    may_have_run_ |= !shard.under_way.empty();
-    CancelUnderWay(shard, now);
+    may_have_run_ |= !shard.in_flight.empty();
+    CancelInFlight(shard, now);
   }
 }
 
-void RequestRun::CancelUnderWay(Shard& shard, MonotonicTime now) {
-  for (const Attempt& attempt : shard.under_way) {
-    NoteEnd(attempt, AttemptResult::kCancelled, now);
+void RequestRun::CancelInFlight(Shard& shard, MonotonicTime now) {
+  for (const Attempt& attempt : shard.in_flight) {
+    ReportAttemptEnd(attempt, AttemptResult::kCancelled, now);
     actions_.emplace_back(CancelAction{attempt.id});
   }
-  shard.under_way.clear();
+  shard.in_flight.clear();
 }
 
-void RequestRun::NoteEnd(const Attempt& attempt, AttemptResult result,
-                         MonotonicTime now) {
+void RequestRun::ReportAttemptEnd(const Attempt& attempt, AttemptResult result,
+                                  MonotonicTime now) {
   pool_.CountForRollout(route_.name, attempt.backend,
                         {.result = result, .elapsed = now - attempt.sent});
   pool_.OnEnded(attempt.backend, attempt.id, result, now);
@@ -476,22 +480,23 @@
   const auto count = [this](auto is) {
     return static_cast<std::size_t>(std::ranges::count_if(shards_, is));
   };
-  const std::size_t in = count([](const Shard& shard) { return shard.in; });
+  const std::size_t answered =
+      count([](const Shard& shard) { return shard.answered; });
   const std::size_t failed =
       count([](const Shard& shard) { return shard.failed; });
   const std::size_t required = IsScatter() ? RequiredShards() : 1;
-  const bool all_ended = in + failed == shards_.size();
-  if (in >= required && (all_ended || now >= answer_by_)) {
+  const bool all_ended = answered + failed == shards_.size();
+  if (answered >= required && (all_ended || now >= answer_by_)) {
     Finish(RunResult::kSuccess, all_ended ? "all ended" : "target", now);
   } else if (shards_.size() - failed < required) {
     const Shard& first = shards_.front();
     if (!IsScatter() && first.failure) {
-      Finish(RunResult::kBackendFailure, "the back end failed", now);
+      Finish(RunResult::kBackendFailure, "the backend failed", now);
       return;
     }
     CancelAll(now);
     Finish(may_have_run_ ? RunResult::kFailed : RunResult::kNotRun,
-           "no back end answered", now);
+           "no backend answered", now);
   } else if (now >= deadline_) {
     CancelAll(now);
     Finish(may_have_run_ ? RunResult::kTimedOut : RunResult::kNotRun,
@@ -502,7 +507,7 @@
 void RequestRun::Finish(RunResult result, const char* reason,
                         MonotonicTime now) {
   over_ = true;
-  in_target_ = result == RunResult::kSuccess && now <= target_by_;
+  succeeded_in_target_ = result == RunResult::kSuccess && now <= target_by_;
   RunOutcome outcome;
   outcome.result = result;
   outcome.reason = reason;
@@ -510,7 +515,7 @@
     outcome.retry_after = options_.suspect_retry_after;
   }
   if (IsScatter()) {
-    NameMissing(outcome);
+    ListMissingShards(outcome);
   }
   if (result == RunResult::kSuccess && IsScatter()) {
     MergeParts(outcome);
@@ -523,9 +528,9 @@
   outcome_ = std::move(outcome);
 }
 
-void RequestRun::NameMissing(RunOutcome& outcome) const {
+void RequestRun::ListMissingShards(RunOutcome& outcome) const {
   for (const Shard& shard : shards_) {
-    if (!shard.in) {
+    if (!shard.answered) {
       outcome.missing.push_back(
           {shard.service, shard.tried, shard.failed, shard.extra_refusal});
     }
@@ -535,7 +540,7 @@
 void RequestRun::MergeParts(RunOutcome& outcome) const {
   std::vector<std::string_view> parts;
   for (const Shard& shard : shards_) {
-    if (shard.in) {
+    if (shard.answered) {
       outcome.signatures.push_back(shard.answer.signature);
       parts.push_back(shard.answer.body);
     }
@@ -558,13 +563,13 @@
   const bool enough =
       IsScatter() &&
       static_cast<std::size_t>(std::ranges::count_if(
-          shards_, [](const Shard& shard) { return shard.in; })) >=
+          shards_, [](const Shard& shard) { return shard.answered; })) >=
           RequiredShards();
   if (enough) {
     next = std::min(next, answer_by_);
   }
   for (const Shard& shard : shards_) {
-    if (!shard.in && !shard.failed && !shard.waits_for_backend) {
+    if (!shard.answered && !shard.failed && !shard.waits_for_backend) {
       next = std::min(next, shard.next_hedge);
     }
   }
--- a/source/common/forwarding/request_run.h
+++ b/source/common/forwarding/request_run.h
@@ -1,15 +1,16 @@
-// One request of a client, from its route to its answer: which back ends it is
-// sent to, when another one is asked besides (hedge) or after it (retry), when
-// to stop waiting, and what the client is told. A request to one service is a
-// run with one shard. Pure: time is an argument, actions are values.
+// Decides how one client's request is processed, from its route to its answer:
+// which backends the router sends it to, when it hedges or retries an attempt,
+// when it stops waiting, and what the client's answer contains. A request to
+// one service is a run with one shard. An Exchange owns the run and performs
+// its I/O. The run reads no clock: time is an argument, and actions are values.
 //
-// Use: Start, then OnEnded for each attempt and OnTime at NextDeadline(); after
-// each, carry out TakeActions(). Once outcome() is there the run is over, and
-// what was under way has been cancelled by actions.
+// Use: call Start, then OnEnded for each attempt and OnTime at NextDeadline();
+// after each call, carry out TakeActions(). Once outcome() has a value the run
+// is over, and the pending actions cancel the attempts in flight.
 //
-// While the back ends that it needs are all busy, a run waits: nothing is sent
-// before Admit() finds enough of them free. An admitted run that lacks back
-// ends for some shards looks for them again at OnCapacity().
+// While too many of the backends that it needs are busy, a run waits: it sends
+// nothing before Admit() finds enough of them free. An admitted run that lacks
+// free backends for some shards looks for them again in OnCapacity().
 #pragma once
 
 #include <cstdint>
@@ -25,180 +26,198 @@
 
 namespace juniperway::forwarding {
 
-// Send the request to this back end.
+// Sends the request to one backend.
 struct SendAction {
   AttemptId attempt = 0;
+  // Id of the backend.
   std::string backend;
   std::string address;
-  // The client's, shortened by the route's timeout.
+  // The client's deadline, shortened by the route's timeout.
   MonotonicTime deadline;
-  // Back ends of this service name the request in their answers: an answer that
-  // names none is another request's.
+  // The backends of this service echo the request id, so that an answer without
+  // one belongs to another request.
   bool names_request = false;
-  // Of a service with a roll-out: what the back end runs.
+  // The version that the backend runs, when its service has a rollout.
   std::string version{};
   bool canary = false;
 };
-// Break an attempt off.
+// Cancels an attempt in flight.
 struct CancelAction {
   AttemptId attempt = 0;
 };
 using RunAction = std::variant<SendAction, CancelAction>;
 
-// A back end whose connection was lost while it had the request.
+// A backend whose connection was lost while it had the request.
 struct LostBackend {
-  // See session::IncarnationName: one that starts again under its id may be
-  // lost again.
+  // See session::IncarnationName. A backend that restarts under the same id may
+  // be lost again and counts as another one.
   std::string incarnation;
   std::string address;
 };
 
-// What a run shows of whether its request ends the back ends that run it.
+// What a run observed about whether its request crashes backends.
 struct CrashEvidence {
   std::vector<LostBackend> lost;
-  // Some back end ran the request to a successful answer.
+  // Some backend ran the request and sent a successful answer.
   bool survived = false;
 };
 
-// A whole answer of a back end.
+// A complete answer of a backend.
 struct BackendAnswer {
   int status = 0;
-  // As they came, without those of the connection.
+  // In the order received, without the headers of the connection.
   std::vector<std::pair<std::string, std::string>> headers;
   std::string signature;
   std::string body;
 };
 
+// How an attempt ended.
 struct AttemptEnd {
   AttemptResult result = AttemptResult::kBroken;
-  // Of kReset and kBroken: the connection was lost while the back end had the
-  // request, without a byte of an answer.
+  // For kReset and kBroken: the connection was lost while the backend had the
+  // request, before the first byte of an answer.
   bool connection_lost = false;
-  // Of kAnswered: the answer names the request.
+  // For kAnswered: the answer echoes the request id.
   bool names_request = false;
-  // Of kAnswered and kFailed.
+  // Set for kAnswered and kFailed.
   BackendAnswer answer;
 };
 
+// How a run ended.
 enum class RunResult {
-  kSuccess,         // Of a scatter: enough shards are in.
-  kBackendFailure,  // The back end's own failure is passed on.
-  kNotRun,          // Nothing ran, and nothing will.
-  kFailed,          // Something may have run; no back end could answer.
-  kTimedOut,        // The time was up; something may have run.
+  kSuccess,         // A backend, or enough shards of a scatter, answered.
+  kBackendFailure,  // The client gets the backend's own error answer.
+  kNotRun,          // No backend ran the request, and none will.
+  kFailed,          // A backend may have run the request; none answered.
+  kTimedOut,        // The deadline passed; a backend may have run it.
 };
 
-// Why a further attempt at a shard was not sent when it was last due.
+// Why the run did not send the latest attempt that was due for a shard: the
+// retry budget was used up, or no backend was available.
 enum class ExtraRefusal { kNone, kBudget, kNoBackend };
 
-// A shard that is left out of an answer.
+// A shard whose part the client's answer lacks.
 struct MissingShard {
   std::string service;
-  // Ids of the back ends that it was sent to, in this order.
+  // Ids of the backends that the request was sent to, in this order.
   std::vector<std::string> tried;
-  // Nothing was under way any more; else it was not waited for.
+  // All attempts had ended; false when the run ended while it still waited for
+  // the shard.
   bool failed = false;
   ExtraRefusal extra_refusal = ExtraRefusal::kNone;
 };
 
-// What the client is told.
+// The content of the client's answer.
 struct RunOutcome {
   RunResult result = RunResult::kNotRun;
-  // Of a split: the answer to pass on.
+  // For a split: the answer to pass on.
   BackendAnswer answer;
-  // Of a scatter: shards that are not in, whatever the result.
+  // For a scatter with any result: the shards that have not answered.
   std::vector<MissingShard> missing;
-  // Of a scatter that succeeded.
+  // For a scatter that succeeded: the shards' signatures and the merged
+  // records.
   std::vector<std::string> signatures;
   std::string records;
-  // Of kFailed: the client should not come back before. Zero: not said.
+  // For kFailed: minimum time before the client sends the request again. Zero
+  // omits it from the answer.
   Duration retry_after{};
-  // For the log: why it ended so.
+  // The reason, for the log and the client's error message.
   const char* reason = "";
 };
 
-// How long a route's attempts take, whatever back ends they go to.
+// Latencies of a route's attempts at all backends. RouterServer owns one for
+// each route, and the route's exchanges share it.
 struct RouteLatency {
   routing::LatencyTracker attempts;
-  // Of them, those that were sent beside another one and answered first: the
-  // way to another region and new connections are in it.
+  // Those of the hedges that answered first. They include round trips to other
+  // regions and new connections.
   routing::LatencyTracker hedges;
 };
 
+// Settings that all runs of a router share. The router's options own them.
 struct RunOptions {
-  // Between this router and the client, both ways, with what an answer takes
-  // to be written: an answer leaves this long before the target.
+  // How long before the target the router sends its answer: the round trip
+  // between router and client, and the time to write the answer.
   Duration answer_margin = milliseconds(18);
-  // And this long for each part: merging it and writing its signature takes
-  // some 7 us of a whole core, and routers have 0.12 of one. With 90 parts and
-  // 18 ms alone half of the urgent answers came 0.5 ms late (median 120.5 ms
-  // of 120, a fleet of 985 routers, simulated).
+  // Additional time for each part. Merging a part and writing its signature
+  // takes about 7 us of a core, and routers have 0.12 of a core. Without this
+  // margin, half of the answers with 90 parts missed a target of 120 ms by at
+  // least 0.5 ms.
   Duration part_margin = microseconds(60);
-  // Attempts that take longer than this share of the others are hedged. Mean
-  // worth of five days with trouble and 70 machines 0.566 at 0.99 and half of
-  // the target, 0.583 at 0.95 and a quarter, 0.613 and 0.615 with other changes
-  // at 0.90 and 0.95 (simulated).
+  // An attempt is hedged after this quantile of the route's latencies. On days
+  // with faults, 0.99 with a minimum share of 0.5 reached a mean worth of
+  // 0.566, and 0.95 with 0.25 reached 0.583.
   double hedge_quantile = 0.95;
-  // But none waits longer for its hedge than leaves the hedge time to be
-  // answered within the target, between these shares of the target: where many
-  // back ends are slow, the quantile says nothing about the others.
-  double earliest_hedge_share = 0.25;
-  double latest_hedge_share = 0.5;
-  // Where back ends may end under the request: its client should not repeat it
-  // before the fleet has judged it (control/crash_attribution.h), which takes
-  // less than this.
+  // The hedge delay is also bounded so that the hedge can still be answered
+  // within the target. That bound lies between these shares of the target. It
+  // applies when many backends are slow, because the quantile then describes
+  // the slow backends only.
+  double minimum_hedge_delay_share = 0.25;
+  double maximum_hedge_delay_share = 0.5;
+  // Retry-After of a request that is suspected of crashing backends. The
+  // control group attributes crashes in less time
+  // (control/crash_attribution.h).
   Duration suspect_retry_after = seconds(1);
-  // A request waits for back ends that are busy no longer than this share of
-  // its time; then it is refused, and its client has time to try elsewhere.
-  double longest_wait_share = 0.75;
+  // Maximum share of the request's time for which it waits for busy backends.
+  // The router then refuses it, so that the client has time to send it to
+  // another router.
+  double maximum_wait_share = 0.75;
 };
 
+// The state machine of one request; see the top of this file.
 class RequestRun {
  public:
-  // @param service picks the part of a split; not used by a scatter.
-  // @param deadline when the client leaves.
-  // @param suspected back ends have ended under the request before: one attempt
-  //   goes ahead of the others, which wait until it is answered.
+  // @param service the service that was chosen for a split; a scatter
+  //   ignores it.
+  // @param deadline when the client stops waiting.
+  // @param suspected backends have crashed under the request before. The run
+  //   sends one trial attempt first; the others wait until it is answered.
   // @param latency of the route's attempts.
   // All references must stay valid for the lifetime of the run.
   RequestRun(const routes::Route& route, const std::string& service,
              MonotonicTime deadline, const RunOptions& options,
              BackendPool& pool, RouteLatency& latency, bool suspected = false);
 
-  // Before Start: only back ends of these regions, besides the route's own
-  // limit, may get the request.
+  // Restricts the request to backends of these regions, in addition to the
+  // route's own regions. Must be called before Start.
   void RestrictTo(const routes::HomeRegions& regions);
 
-  // @param elapsed_before how long ago the client asked for the first time.
+  // @param elapsed_before how long ago the client first sent the request.
   void Start(MonotonicTime now, Duration elapsed_before = Duration(0));
-  // Of a run that waits: sends the request if enough back ends are free now.
-  // @return false when it has to go on waiting.
+  // Sends the request of a waiting run if enough backends are free. Refuses it
+  // if too few shards have backends at all.
+  // @return false when the run has to keep waiting.
   bool Admit(MonotonicTime now);
-  // Of a run that waits: refuses the request.
+  // Refuses the request of a waiting run.
   void StopWaiting(MonotonicTime now);
-  // Back ends may have become free: sends what had to wait for one.
+  // Called when backends may have become free: sends the attempts that wait for
+  // one.
   void OnCapacity(MonotonicTime now);
   void OnEnded(AttemptId attempt, AttemptEnd end, MonotonicTime now);
+  // Called at NextDeadline().
   void OnTime(MonotonicTime now);
-  // The client left: everything is cancelled; there is no outcome.
+  // The client disconnected: cancels all attempts in flight. The run gets no
+  // outcome.
   void OnClientGone(MonotonicTime now);
 
+  // @return the actions since the previous call, in the order of execution.
   std::vector<RunAction> TakeActions();
+  // When OnTime must be called next; max() once the run is over.
   MonotonicTime NextDeadline() const;
   const std::optional<RunOutcome>& outcome() const { return outcome_; }
 
-  // Answers of several services are merged.
+  // The run merges the answers of several services.
   bool IsScatter() const { return scatter_ != nullptr; }
-  // Nothing was sent yet, because too many back ends are busy.
+  // The run has sent nothing yet, because too many backends are busy.
   bool waiting() const { return !over_ && !admitted_; }
-  // Some shards wait for a back end.
+  // Some shards of the admitted run wait for a busy backend.
   bool short_of_backends() const;
-  // An answer after this is late.
+  // An answer after this time is late.
   MonotonicTime target_by() const { return target_by_; }
 
-  // Back ends shed some of its attempts, and no answer came within the target:
-  // more is asked of them than they can do.
-  bool overloaded() const { return sheds_ > 0 && !in_target_; }
+  // Backends shed some of the run's attempts, and the run did not succeed
+  // within the target.
+  bool overloaded() const { return sheds_ > 0 && !succeeded_in_target_; }
 
   const CrashEvidence& crash_evidence() const { return crash_evidence_; }
 
@@ -212,76 +231,89 @@
     std::string incarnation;
     std::string address;
     MonotonicTime sent;
-    // It was sent beside another one.
+    // The attempt was sent while an earlier one was in flight.
     bool hedge = false;
   };
+  // One service that the run needs an answer from.
   struct Shard {
     std::string service;
-    std::vector<Attempt> under_way;
+    std::vector<Attempt> in_flight;
+    // Ids of backends that were sent the request, without those that refused
+    // the connection.
     std::vector<std::string> tried;
-    // Attempts that ran or may have run, those under way among them.
+    // Attempts that ran or may have run, including those in flight.
     std::uint32_t runs = 0;
-    // Some attempt reached a back end, or may have: what is sent from then on
-    // is extra load.
-    bool arrived = false;
+    // Some attempt reached a backend, or may have: each later one takes from
+    // the retry budget.
+    bool may_have_arrived = false;
     MonotonicTime next_hedge = MonotonicTime::max();
-    // Nothing is under way, and every back end that may be asked is busy.
+    // No attempt is in flight, and every backend that may get one is busy.
     bool waits_for_backend = false;
-    // Nothing is under way, and nothing is sent before a back end has shown
-    // that it survives the request.
-    bool held = false;
-    bool in = false;
+    // No attempt is in flight, and the run sends none before the attempts in
+    // flight at other shards or the trial attempt have shown whether backends
+    // survive the request.
+    bool awaits_evidence = false;
+    bool answered = false;
     bool failed = false;
     ExtraRefusal extra_refusal = ExtraRefusal::kNone;
     BackendAnswer answer;
-    // The last whole failure of a back end, if any.
+    // The latest error answer of a backend, if any.
     std::optional<BackendAnswer> failure;
   };
 
-  // What the shard's next attempt needs.
+  // The requirements of the shard's next attempt on its backend.
   BackendNeed NeedOf(const Shard& shard) const;
-  // @return false when no back end may be used, or the budget refused.
+  // Sends an attempt for the shard.
+  // @return false when no backend is available, or the retry budget is used up.
   bool Send(Shard& shard, MonotonicTime now);
-  // Of a shard with nothing under way: sends, or waits for a busy back end, or
-  // gives the shard up; holds it while the request is suspected.
+  // For a shard without attempts in flight: sends one, or waits for a busy
+  // backend, or marks the shard as failed. While the request is suspected or an
+  // answer must be awaited, the shard awaits evidence instead: an answer shows
+  // whether backends survive the request.
   void SendOrWait(Shard& shard, MonotonicTime now);
-  // Of a shard that could not be sent: waits where a back end is expected to
-  // become free in time, else gives the shard up.
+  // For a shard whose attempt could not be sent: waits if a backend may become
+  // free in time, and otherwise marks the shard as failed.
   void WaitOrFail(Shard& shard, MonotonicTime now);
-  // The request may end back ends: several were lost under it, in this run or
+  // The request may crash backends: several were lost under it, in this run or
   // before, and none has survived it.
   bool IsSuspected() const;
-  // A back end was lost, and attempts are under way that will show whether that
-  // was the request's doing.
+  // A backend was lost, and attempts in flight will show whether the request
+  // crashes backends.
   bool MustAwaitAnswer() const;
-  bool IsAnythingUnderWay() const;
-  void Hold(Shard& shard);
-  // Decides on held shards once nothing is under way, or the request is not
-  // suspected any more: one of them goes ahead, all are sent, or all given up.
-  void ResumeHeld(MonotonicTime now);
-  // Sends one held shard's attempt, which shows whether back ends survive.
+  bool HasAttemptInFlight() const;
+  void AwaitEvidence(Shard& shard);
+  // Decides on the shards that await evidence, once no attempt is in flight or
+  // a backend has survived the request: sends the trial, or sends all of them,
+  // or marks all of them as failed.
+  void ResumeShardsAwaitingEvidence(MonotonicTime now);
+  // Sends the trial: one attempt, which shows whether backends survive the
+  // request.
   void SendTrial(MonotonicTime now);
-  void NoteCrashEvidence(const Attempt& attempt, const AttemptEnd& end);
-  // Tells the pool how an attempt ended.
-  void NoteEnd(const Attempt& attempt, AttemptResult result, MonotonicTime now);
-  // Gives up all that is under way for a shard.
-  void CancelUnderWay(Shard& shard, MonotonicTime now);
+  void RecordCrashEvidence(const Attempt& attempt, const AttemptEnd& end);
+  // Reports to the pool how an attempt ended.
+  void ReportAttemptEnd(const Attempt& attempt, AttemptResult result,
+                        MonotonicTime now);
+  // Cancels the shard's attempts in flight.
+  void CancelInFlight(Shard& shard, MonotonicTime now);
+  // Sends a hedge for the shard if the route and the budget allow it.
   void Hedge(Shard& shard, MonotonicTime now);
+  // Called after an attempt of the shard ended without an answer: sends another
+  // one if that is allowed.
   void Retry(Shard& shard, MonotonicTime now);
-  // How long before its target an answer has to leave.
+  // How long before its target the answer must be sent.
   Duration AnswerMargin() const;
-  // The longest wait that leaves a hedge time to be answered within the target.
-  Duration LatestHedgeDelay() const;
+  // Maximum delay that leaves a hedge time to be answered within the target.
+  Duration MaximumHedgeDelay() const;
   Duration HedgeDelay() const;
-  // Ends the run where it can be ended now.
+  // Ends the run if its outcome is certain or its time is over.
   void Evaluate(MonotonicTime now);
   void Finish(RunResult result, const char* reason, MonotonicTime now);
-  void NameMissing(RunOutcome& outcome) const;
+  void ListMissingShards(RunOutcome& outcome) const;
   void MergeParts(RunOutcome& outcome) const;
   void CancelAll(MonotonicTime now);
   std::size_t RequiredShards() const;
-  // May the request be sent once more, as far as promises go?
-  bool MayRepeat(const Shard& shard) const;
+  // Whether the route's maximum attempts allow another attempt for the shard.
+  bool MaySendAgain(const Shard& shard) const;
 
   const routes::Route& route_;
   const routes::ScatterTarget* scatter_;
@@ -290,27 +322,27 @@
   BackendPool& pool_;
   RouteLatency& latency_;
   MonotonicTime deadline_;
-  // A run that still waits then is refused.
+  // The run refuses a request that still waits at this time.
   MonotonicTime wait_until_;
   MonotonicTime target_by_;
   bool admitted_ = false;
-  // A shard that still lacks a back end then is given up.
+  // A shard that still lacks a free backend at this time fails.
   MonotonicTime shards_wait_until_;
-  // From then on a scatter that is complete enough is answered.
+  // From this time on, a scatter ends once enough shards have answered.
   MonotonicTime answer_by_;
   std::vector<Shard> shards_;
   CrashEvidence crash_evidence_;
   bool suspected_before_;
-  // An attempt went ahead of the held shards, and may have run.
+  // The trial was sent, and a backend may have run it.
   bool trial_sent_ = false;
-  std::size_t held_shards_ = 0;
-  // Something was sent and did not come back as not run.
+  std::size_t shards_awaiting_evidence_ = 0;
+  // Some attempt may have run the request.
   bool may_have_run_ = false;
   std::size_t attempts_sent_ = 0;
   std::size_t hedges_ = 0;
   std::size_t sheds_ = 0;
-  // It ended with an answer within its target.
-  bool in_target_ = false;
+  // The run succeeded within its target.
+  bool succeeded_in_target_ = false;
   std::vector<RunAction> actions_;
   std::optional<RunOutcome> outcome_;
   bool over_ = false;
--- a/source/common/forwarding/router_metrics.cc
+++ b/source/common/forwarding/router_metrics.cc
@@ -9,7 +9,7 @@
 using prometheus::BuildGauge;
 using prometheus::BuildHistogram;
 
-// Seconds.
+// Upper bounds, in seconds.
 const prometheus::Histogram::BucketBoundaries kLatencyBuckets = {
     0.008, 0.016, 0.032, 0.064, 0.125, 0.25, 0.5, 1, 2, 4, 8, 16};
 
@@ -96,48 +96,49 @@
       tenant_requests_(
           BuildCounter()
               .Name("juniperway_router_tenant_requests_total")
-              .Help("Requests of tenants with a limit, by what was decided")
-              .Register(registry)),
-      canary_attempts_(
-          BuildCounter()
-              .Name("juniperway_router_canary_attempts_total")
-              .Help("Attempts at canaries of roll-outs, by how they ended")
+              .Help("Requests of tenants with a limit, by decision")
               .Register(registry)),
+      canary_attempts_(BuildCounter()
+                           .Name("juniperway_router_canary_attempts_total")
+                           .Help("Attempts at canaries of rollouts, by result")
+                           .Register(registry)),
       seconds_(&BuildHistogram()
                     .Name("juniperway_router_request_seconds")
-                    .Help("Time from the whole request to the answer")
+                    .Help("Time from the complete request to the answer")
                     .Register(registry)
                     .Add({}, kLatencyBuckets)),
       hedges_(PlainCounter(registry, "juniperway_router_hedges_total",
-                           "Attempts sent beside one that took too long")),
+                           "Attempts sent while an earlier one still ran")),
       missing_(PlainCounter(registry, "juniperway_router_missing_shards_total",
-                            "Shards left out of answers")),
-      throttled_(PlainCounter(registry, "juniperway_router_throttled_total",
-                              "Requests refused as back ends are overloaded")),
+                            "Shards missing from answers")),
+      throttled_(
+          PlainCounter(registry, "juniperway_router_throttled_total",
+                       "Requests refused because backends are overloaded")),
       running_(PlainGauge(registry, "juniperway_router_requests_running",
                           "Requests in flight")),
       backends_(PlainGauge(registry, "juniperway_router_backends",
-                           "Back ends that may get requests")),
+                           "Backends that may get requests")),
       routers_(PlainGauge(registry, "juniperway_router_routers",
-                          "Routers that share connections and budgets")),
+                          "Routers that share connections and retry budgets")),
       shared_failures_(
           PlainGauge(registry, "juniperway_router_shared_failures",
-                     "Back ends that other routers had failures at")),
+                     "Backends with recent failures at other routers")),
       evacuated_zones_(PlainGauge(registry, "juniperway_router_evacuated_zones",
-                                  "Zones whose back ends get no new work")),
+                                  "Zones whose backends get no new requests")),
       quarantine_refusals_(
           PlainCounter(registry, "juniperway_router_quarantine_refusals_total",
-                       "Requests refused as back ends end under them")),
-      quarantined_requests_(
-          PlainGauge(registry, "juniperway_router_quarantined_requests",
-                     "Requests that are refused as back ends end under them")),
+                       "Requests refused because they crash backends")),
+      quarantined_requests_(PlainGauge(
+          registry, "juniperway_router_quarantined_requests",
+          "Requests that are quarantined because they crash backends")),
       revision_(PlainGauge(registry, "juniperway_router_view_revision",
-                           "Revision in use here")),
-      table_version_(PlainGauge(registry, "juniperway_router_table_version",
-                                "Version of the route table in use here")) {
+                           "Revision of the fleet view that the router uses")),
+      table_version_(
+          PlainGauge(registry, "juniperway_router_table_version",
+                     "Version of the route table that the router uses")) {
   auto& requests = BuildCounter()
                        .Name("juniperway_router_requests_total")
-                       .Help("Routed requests, by how they ended")
+                       .Help("Routed requests, by result")
                        .Register(registry);
   for (std::size_t i = 0; i < requests_.size(); ++i) {
     requests_.at(i) =
@@ -145,7 +146,7 @@
   }
   auto& attempts = BuildCounter()
                        .Name("juniperway_router_attempts_total")
-                       .Help("Attempts at back ends, by how they ended")
+                       .Help("Attempts at backends, by result")
                        .Register(registry);
   for (std::size_t i = 0; i < attempts_.size(); ++i) {
     attempts_.at(i) =
--- a/source/common/forwarding/router_metrics.h
+++ b/source/common/forwarding/router_metrics.h
@@ -1,4 +1,5 @@
-// What a router counts of the requests that it forwards, as Prometheus metrics.
+// Prometheus metrics of the requests that a router forwards. RouterServer owns
+// them; the registry owns the counters.
 // Page: docs/operations/metrics.md.
 #pragma once
 
@@ -20,7 +21,7 @@
 
 namespace juniperway::forwarding {
 
-// How a request ended, as the metrics have it.
+// How a request ended: the values of the label `result`.
 enum class RequestEnd {
   kWhole,
   kPartial,
@@ -33,37 +34,43 @@
 inline constexpr std::size_t kRequestEnds = 7;
 inline constexpr std::size_t kAttemptResults = 9;
 
+// The label values.
 const char* NameOf(RequestEnd end);
 const char* NameOf(AttemptResult result);
 RequestEnd EndOf(const RunOutcome& outcome);
 
+// Updates the router's metrics, one function per event.
 class RouterMetrics {
  public:
   explicit RouterMetrics(prometheus::Registry& registry);
 
   void OnBegan();
-  // @param run as it was when the request ended.
+  // @param run the request's run, which is over.
+  // @param missing number of shards that the answer lacks.
+  // @param elapsed time since the request arrived.
   void OnEnded(RequestEnd end, const RequestRun& run, std::size_t missing,
                Duration elapsed);
   void OnAttemptEnded(AttemptResult result);
-  // Of an attempt at a canary of a roll-out, besides OnAttemptEnded.
+  // Called in addition to OnAttemptEnded for an attempt at a canary of a
+  // rollout.
   void OnCanaryAttemptEnded(AttemptResult result);
-  // Answered before it was routed.
+  // The router refused a request before it was routed.
   void OnRefused(int status);
-  // Refused because the route's back ends are overloaded.
+  // The router refused a request because the route's backends are overloaded.
   void OnThrottled();
   void OnView(std::uint64_t revision, std::uint64_t table_version,
               const BackendPool& pool);
-  // @param backends that other routers had failures at of late.
+  // @param backends number of backends with recent failures at other routers.
   void OnObservations(std::size_t backends);
-  // @param zones that are evacuated now.
+  // @param zones number of zones that are evacuated now.
   void OnEvacuations(std::size_t zones);
-  // Tenants that are counted by name; others are counted together.
+  // Maximum number of tenants with a label value of their own; the others share
+  // one.
   static constexpr std::size_t kNamedTenants = 100;
   void OnTenantRequest(const std::string& tenant, LimitDecision decision);
-  // Refused because back ends end under it.
+  // The router refused a request because it crashes backends.
   void OnQuarantineRefused();
-  // @param requests that are refused for this now.
+  // @param requests number of requests that are quarantined now.
   void OnQuarantine(std::size_t requests);
 
  private:
--- a/source/common/forwarding/router_server.cc
+++ b/source/common/forwarding/router_server.cc
@@ -38,24 +38,25 @@
 constexpr int kStatusTooLarge = 413;
 constexpr int kStatusHeadersTooLarge = 431;
 constexpr int kStatusUnavailable = 503;
-// A router without a route table gets one as soon as it finds a control
-// machine; after a loss of them all, once those have a leader again.
+// Retry-After while the router has no route table. The router gets the table
+// once it reaches a control node and the control group has a leader.
 constexpr Duration kStartingRetryAfter = milliseconds(1200);
 constexpr Duration kStoppingRetryAfter = milliseconds(50);
-// Of a request that ends back ends: it stays refused for an hour after its last
-// try (control/crash_record.h), unless an operator clears it.
+// Retry-After of a quarantined request: it stays quarantined for an hour after
+// a client last sent it (control/crash_record.h), unless an operator clears it.
 constexpr Duration kQuarantineRetryAfter = seconds(3600);
-// After a request that was refused because back ends are overloaded: about the
-// memory of AdaptiveThrottle, after which the share that is admitted has
-// changed.
-constexpr Duration kShortestOverloadRetryAfter = AdaptiveThrottle::kMemory / 2;
-constexpr Duration kLongestOverloadRetryAfter =
+// Range of Retry-After when backends are overloaded: around the decay time of
+// AdaptiveThrottle, after which the admitted share has changed.
+constexpr Duration kMinimumOverloadRetryAfter = AdaptiveThrottle::kMemory / 2;
+constexpr Duration kMaximumOverloadRetryAfter =
     AdaptiveThrottle::kMemory * 3 / 2;
-// Between reports on canaries that are sent ahead of the next heartbeat: a
-// router with much traffic sends five of some 400 bytes a second.
+// Minimum interval between reports on canaries that the router sends before the
+// next regular heartbeat. It limits a busy router to five reports of about 400
+// bytes a second.
 constexpr Duration kCanaryReportInterval = milliseconds(200);
 constexpr Duration kStopPollInterval = milliseconds(50);
-// Larger bodies are not even read; the route table's limit lies below.
+// The HTTP server does not read larger bodies; the route table's limit is
+// lower.
 constexpr std::size_t kMaximumBodyBytes = 8U << 20;
 
 net::HttpResponse Status(int status) {
@@ -85,8 +86,8 @@
                 BackendPool::kIdleConnectionTime),
         admission_(context,
                    [this] {
-                     if (report_ask_) {
-                       report_ask_();
+                     if (request_heartbeat_) {
+                       request_heartbeat_();
                      }
                    }),
         dispatcher_(context),
@@ -113,36 +114,39 @@
                            dispatcher_.OnOver(exchange);
                            ReportReleased();
                          }},
-        startup_queue_(context,
-                       [this](const StartupQueue::HeldRequestPointer& held) {
-                         RefuseWithoutTable(held->message, *held->responder);
-                       }),
+        startup_queue_(
+            context,
+            [this](const StartupQueue::QueuedRequestPointer& queued) {
+              RefuseWithoutTable(queued->message, *queued->responder);
+            }),
         stop_timer_(context),
         renewal_timer_(context),
-        front_(context,
-               net::HttpServerOptions{.endpoint = options.http_listen,
-                                      .maximum_body_bytes = kMaximumBodyBytes,
-                                      .connection_listener = {}},
-               [this](const net::HttpRequest& request,
-                      std::shared_ptr<net::HttpResponder> responder) {
-                 Handle(request, std::move(responder));
-               }),
-        ready_(context,
-               net::HttpServerOptions{.endpoint = options.ready_listen,
-                                      .connection_listener = {}},
-               [this](const net::HttpRequest& request,
-                      const std::shared_ptr<net::HttpResponder>& responder) {
-                 HandleReady(request, *responder);
-               }) {
+        http_server_(
+            context,
+            net::HttpServerOptions{.endpoint = options.http_listen,
+                                   .maximum_body_bytes = kMaximumBodyBytes,
+                                   .connection_listener = {}},
+            [this](const net::HttpRequest& request,
+                   std::shared_ptr<net::HttpResponder> responder) {
+              Handle(request, std::move(responder));
+            }),
+        ready_server_(
+            context,
+            net::HttpServerOptions{.endpoint = options.ready_listen,
+                                   .connection_listener = {}},
+            [this](const net::HttpRequest& request,
+                   const std::shared_ptr<net::HttpResponder>& responder) {
+              HandleReady(request, *responder);
+            }) {
     LogEvent(kRouterListening,
              {{"name", options.name},
-              {"http", net::FormatEndpoint(front_.local_endpoint())},
-              {"ready", net::FormatEndpoint(ready_.local_endpoint())}});
+              {"http", net::FormatEndpoint(http_server_.local_endpoint())},
+              {"ready", net::FormatEndpoint(ready_server_.local_endpoint())}});
   }
 
   void OnView(const session::FleetViewPointer& view) {
-    NoteEvacuations(*view);
-    NoteRollouts(*view);
+    UpdateEvacuations(*view);
+    UpdateRollouts(*view);
     router_count_.Update(view->members);
     pool_.Update(*view, router_count_.routers(), ReadMonotonicClock());
     crash_guard_.OnView(*view);
@@ -154,15 +158,15 @@
     if (view->route_table &&
         (!index_ || index_->table() != view->route_table)) {
       index_ = std::make_shared<routes::RouteIndex>(view->route_table);
-      LogEvent(kRouteTableTaken,
+      LogEvent(kRouteTableApplied,
                {{"version", view->route_table->version},
                 {"revision", view->revision},
                 {"routes", view->route_table->routes.size()}});
     }
-    NoteReadiness();
+    LogReadinessChange();
     if (IsReady()) {
-      startup_queue_.Release([this](const auto& held) {
-        Route(held->message, held->responder, held->arrived);
+      startup_queue_.Release([this](const auto& queued) {
+        Route(queued->message, queued->responder, queued->arrived);
       });
     }
   }
@@ -171,7 +175,9 @@
     crash_report_ = std::move(report);
   }
 
-  void SetReportAsk(std::function<void()> ask) { report_ask_ = std::move(ask); }
+  void SetReportAsk(std::function<void()> ask) {
+    request_heartbeat_ = std::move(ask);
+  }
   void SetReleaseReport(std::function<void(std::uint64_t revision)> report) {
     release_report_ = std::move(report);
   }
@@ -179,8 +185,8 @@
     return admission_.MakeReport(now);
   }
   void OnRateGrants(const std::vector<quota::RateGrant>& grants,
-                    std::uint64_t term, MonotonicTime asked_at) {
-    admission_.OnGrants(grants, term, asked_at);
+                    std::uint64_t term, MonotonicTime report_sent_at) {
+    admission_.OnGrants(grants, term, report_sent_at);
   }
 
   void Stop(Duration timeout, std::function<void()> done) {
@@ -188,11 +194,11 @@
     stop_done_ = std::move(done);
     stop_plan_ = PlanStop(ReadMonotonicClock(), timeout, options_.stop_notice);
     LogEvent(kRouterStopping, {{"requests", dispatcher_.in_flight()}});
-    startup_queue_.Release([this](const auto& held) {
-      RefuseWithoutTable(held->message, *held->responder);
+    startup_queue_.Release([this](const auto& queued) {
+      RefuseWithoutTable(queued->message, *queued->responder);
     });
-    NoteReadiness();
-    front_.CloseAfterAnswers();
+    LogReadinessChange();
+    http_server_.CloseAfterAnswers();
     ContinueStop();
   }
 
@@ -201,8 +207,8 @@
   }
   void OnNewLeader() { pool_.answer_tally().ReportAllAgain(); }
   void OnSharesRenewed(const std::vector<rollout::RolloutNumber>& rollouts,
-                       MonotonicTime asked_at) {
-    pool_.OnSharesRenewed(rollouts, asked_at + rollout::kShareLease);
+                       MonotonicTime report_sent_at) {
+    pool_.OnSharesRenewed(rollouts, report_sent_at + rollout::kShareLease);
   }
 
   void SetObservationReport(ObservationReporter::Report report) {
@@ -214,14 +220,14 @@
   }
 
   asio::ip::tcp::endpoint http_endpoint() const {
-    return front_.local_endpoint();
+    return http_server_.local_endpoint();
   }
   asio::ip::tcp::endpoint ready_endpoint() const {
-    return ready_.local_endpoint();
+    return ready_server_.local_endpoint();
   }
 
  private:
-  // What is known of a route's requests.
+  // Statistics of one route's requests.
   struct RouteHistory {
     explicit RouteHistory(std::uint64_t seed) : throttle(seed) {}
 
@@ -235,13 +241,13 @@
   void Handle(const net::HttpRequest& message,
               std::shared_ptr<net::HttpResponder> responder) {
     const MonotonicTime now = ReadMonotonicClock();
-    if (stopping_ && now > stop_plan_.notice_until) {
+    if (stopping_ && now > stop_plan_.accept_until) {
       RefuseNotRun(message, *responder, kStoppingRetryAfter,
-                   "this router stops");
+                   "this router is shutting down");
       return;
     }
     const bool usable = index_ && pool_.live_backends() > 0;
-    if (!usable && startup_queue_.Hold(message, responder, now)) {
+    if (!usable && startup_queue_.Enqueue(message, responder, now)) {
       return;
     }
     if (!index_) {
@@ -251,7 +257,8 @@
     Route(message, std::move(responder), now);
   }
 
-  // @param arrived when the request came.
+  // Finds the request's route and tenant, or refuses the request.
+  // @param arrived when the request arrived at this router.
   void Route(const net::HttpRequest& message,
              std::shared_ptr<net::HttpResponder> responder,
              MonotonicTime arrived) {
@@ -285,7 +292,10 @@
     Begin(message, *route, tenant, std::move(responder), arrived);
   }
 
-  // @param tenant null: the route is open to all.
+  // Starts the request, unless it is quarantined, throttled or beyond its
+  // tenant's limit.
+  // @param tenant null when the route table has no tenants or the route is
+  //   anonymous.
   void Begin(const net::HttpRequest& message, const routes::Route& route,
              const routes::Tenant* tenant,
              std::shared_ptr<net::HttpResponder> responder,
@@ -300,13 +310,13 @@
     request.suspected = caution == Caution::kTrial;
     RouteHistory& history = HistoryOf(route);
     SetTimes(message, arrived, now, history, request);
-    // What comes late was refused or failed before, and its client has no
-    // further try.
+    // The throttle does not refuse a late request: the request was refused or
+    // failed before, and its client has no further retry.
     const bool is_late = request.elapsed_before > route.target;
     if (!is_late && !history.throttle.Admit(now)) {
       metrics_.OnThrottled();
       RefuseNotRun(message, *responder, DrawRetryAfter(),
-                   "the back ends are overloaded");
+                   "the backends are overloaded");
       return;
     }
     if (!request.limited_tenant.empty()) {
@@ -320,7 +330,7 @@
                                    std::move(responder), history.latency));
   }
 
-  // All of it but its times.
+  // Sets everything but the deadline and `elapsed_before`.
   Exchange::Request MakeRequest(const net::HttpRequest& message,
                                 const routes::Route& route,
                                 const routes::Tenant* tenant,
@@ -333,7 +343,7 @@
     if (std::holds_alternative<routes::SplitTarget>(route.destination)) {
       request.service = splits_.Choose(route);
     }
-    CallerIdentity identity;
+    ClientIdentity identity;
     identity.is_checked = index_->tenants().RequiresKeys();
     if (tenant != nullptr) {
       identity.tenant = tenant->name;
@@ -345,7 +355,7 @@
     request.forwarded =
         MakeForwardedRequest(message, options_.headers, identity);
     request.fingerprint = FingerprintOf(message, identity.tenant);
-    request.caller = message.remote.address().to_string();
+    request.client_address = message.remote.address().to_string();
     request.revision = revision_;
     request.began = arrived;
     return request;
@@ -369,7 +379,7 @@
     Exchange::Request request;
     std::shared_ptr<net::HttpResponder> responder;
     std::shared_ptr<RouteLatency> latency;
-    bool caller_gone = false;
+    bool client_gone = false;
   };
 
   void AdmitLimited(LimitedRequest request) {
@@ -377,7 +387,7 @@
     limited->responder->OnCallerGone(
         [weak = std::weak_ptr<LimitedRequest>(limited)] {
           if (const auto gone = weak.lock()) {
-            gone->caller_gone = true;
+            gone->client_gone = true;
           }
         });
     admission_.Admit(limited->request.limited_tenant,
@@ -394,11 +404,12 @@
       RefuseLimited(*limited, decision, wait);
       return;
     }
-    if (limited->caller_gone) {
-      admission_.GiveBack(request.limited_tenant);
+    if (limited->client_gone) {
+      admission_.ReleaseToken(request.limited_tenant);
       return;
     }
-    request.token_until = ReadMonotonicClock() + TenantAdmission::kTokenLife;
+    request.token_until =
+        ReadMonotonicClock() + TenantAdmission::kTokenTimeToLive;
     dispatcher_.Start(std::make_shared<Exchange>(
         environment_, std::move(request), std::move(limited->responder),
         limited->latency));
@@ -408,7 +419,7 @@
                      Duration wait) {
     const Exchange::Request& request = limited.request;
     const auto lease = admission_.Describe(request.limited_tenant);
-    // Spread, so that clients that were refused together come back one by one.
+    // Random, so that clients that were refused together do not retry together.
     std::uniform_real_distribution<double> spread(1, 2);
     const Duration retry_after(static_cast<Duration::rep>(
         static_cast<double>(wait.count()) * spread(random_)));
@@ -430,16 +441,17 @@
     limited.responder->Send(std::move(response));
   }
 
-  // A request that was never sent leaves its token for another one.
+  // Releases the token of a request that was never sent, for another request.
   void ReturnUnusedToken(const Exchange& exchange) {
     const Exchange::Request& request = exchange.request();
     if (!request.limited_tenant.empty() && exchange.run().attempts() == 0 &&
         ReadMonotonicClock() <= request.token_until) {
-      admission_.GiveBack(request.limited_tenant);
+      admission_.ReleaseToken(request.limited_tenant);
     }
   }
 
-  // An exchange has ended.
+  // Called once an exchange is over: releases an unused token, and updates the
+  // crash reporter and the route's throttle.
   void OnOver(const Exchange& exchange) {
     ReturnUnusedToken(exchange);
     crash_reporter_.OnRunEnded(exchange.request().fingerprint,
@@ -451,11 +463,10 @@
     }
   }
 
-  // Spread, so that clients that were refused together come back one by one.
+  // Random, so that clients that were refused together do not retry together.
   Duration DrawRetryAfter() {
     std::uniform_int_distribution<Duration::rep> draw(
-        kShortestOverloadRetryAfter.count(),
-        kLongestOverloadRetryAfter.count());
+        kMinimumOverloadRetryAfter.count(), kMaximumOverloadRetryAfter.count());
     return Duration(draw(random_));
   }
 
@@ -473,17 +484,18 @@
                          net::HttpResponder& responder) {
     metrics_.OnQuarantineRefused();
     RefuseNotRun(message, responder, kQuarantineRetryAfter,
-                 "back ends end when they run this request");
+                 "backends crash when they run this request");
   }
 
-  // Nothing ran, and the client may come back.
+  // Refuses a request that did not run; the client may send it again.
   void RefuseNotRun(const net::HttpRequest& message,
                     net::HttpResponder& responder, Duration retry_after,
                     const char* reason) {
     Refuse(message, responder, MakeRefusal(retry_after, reason), reason);
   }
 
-  // @param reason for the log.
+  // Logs and counts the refusal, and answers the client.
+  // @param reason written to the log.
   void Refuse(const net::HttpRequest& message, net::HttpResponder& responder,
               net::HttpResponse response, const char* reason) {
     LogEvent(kRequestRefused,
@@ -500,7 +512,7 @@
 
   // --- Readiness -------------------------------------------------------------
 
-  void NoteEvacuations(const session::FleetView& view) {
+  void UpdateEvacuations(const session::FleetView& view) {
     std::set<std::string> zones;
     for (const auto& [zone, evacuation] : view.evacuations) {
       zones.insert(zone);
@@ -519,7 +531,7 @@
     metrics_.OnEvacuations(evacuated_zones_.size());
   }
 
-  void NoteRollouts(const session::FleetView& view) {
+  void UpdateRollouts(const session::FleetView& view) {
     std::map<std::string, session::RunningRollout> running;
     for (const auto& [service, rollout] : view.rollouts) {
       running[service] = rollout;
@@ -537,17 +549,18 @@
     }
   }
 
-  // Asks for heartbeats as long as a share has to be renewed.
+  // Requests heartbeats periodically while some rollout's share has to be
+  // renewed.
   void RenewShares() {
-    renewing_shares_ =
-        report_ask_ && std::ranges::any_of(rollouts_, [](const auto& entry) {
-          return entry.second.IsRenewable();
-        });
-    NoteShares();
+    renewing_shares_ = request_heartbeat_ &&
+                       std::ranges::any_of(rollouts_, [](const auto& entry) {
+                         return entry.second.IsRenewable();
+                       });
+    LogShareChanges();
     if (!renewing_shares_) {
       return;
     }
-    report_ask_();
+    request_heartbeat_();
     renewal_timer_.expires_after(rollout::kShareRenewalInterval);
     renewal_timer_.async_wait([this](const asio::error_code& error) {
       if (!error) {
@@ -556,8 +569,9 @@
     });
   }
 
-  // Logs where canaries get the base share only, and where that has ended.
-  void NoteShares() {
+  // Logs services whose canaries now get only the base share, and services
+  // where that has ended.
+  void LogShareChanges() {
     const MonotonicTime now = ReadMonotonicClock();
     std::set<std::string> lapsed;
     for (const auto& [service, rollout] : rollouts_) {
@@ -566,7 +580,7 @@
       }
       lapsed.insert(service);
       if (!lapsed_shares_.contains(service)) {
-        LogEvent(kCanaryShareLapsed,
+        LogEvent(kCanaryShareExpired,
                  {{"service", service},
                   {"rollout", rollout.number},
                   {"share_permille", rollout.base_share_permille},
@@ -582,20 +596,22 @@
     lapsed_shares_ = std::move(lapsed);
   }
 
-  // Canaries' answers are told soon, so that a bad version is found before many
-  // requests have met it.
+  // Reports canaries' answers before the next regular heartbeat, so that the
+  // control group detects a bad version before it affects many requests.
   void ReportCanariesSoon() {
-    if (!pool_.answer_tally().has_news() || !report_ask_) {
+    if (!pool_.answer_tally().has_news() || !request_heartbeat_) {
       return;
     }
     const MonotonicTime now = ReadMonotonicClock();
     if (now >= next_canary_report_) {
       next_canary_report_ = now + kCanaryReportInterval;
-      report_ask_();
+      request_heartbeat_();
     }
   }
 
-  // A roll-out is complete only once no router uses the replaced back ends.
+  // Reports once per revision that no attempt is in flight at a retired
+  // backend: a rollout is complete only when no router uses the replaced
+  // backends.
   void ReportReleased() {
     if (rollouts_.empty() || !release_report_ ||
         released_revision_ == revision_ || pool_.retired_under_way() > 0) {
@@ -609,7 +625,7 @@
     return !stopping_ && index_ && pool_.live_backends() > 0;
   }
 
-  void NoteReadiness() {
+  void LogReadinessChange() {
     if (IsReady() != was_ready_) {
       was_ready_ = IsReady();
       LogEvent(was_ready_ ? kRouterReady : kRouterNotReady,
@@ -628,15 +644,15 @@
     responder.Send(Status(IsReady() ? kStatusOk : kStatusUnavailable));
   }
 
-  // --- Planned stop ----------------------------------------------------------
+  // --- Graceful shutdown -----------------------------------------------------
 
   void ContinueStop() {
     const MonotonicTime now = ReadMonotonicClock();
-    const bool noticed = now > stop_plan_.notice_until;
+    const bool past_accept_window = now > stop_plan_.accept_until;
     const bool idle = dispatcher_.in_flight() == 0 &&
                       admission_.waiting() == 0 &&
-                      front_.unwritten_answers() == 0;
-    if ((noticed && idle) || now >= stop_plan_.abandon_at) {
+                      http_server_.unwritten_answers() == 0;
+    if ((past_accept_window && idle) || now >= stop_plan_.abandon_at) {
       EndStop();
       return;
     }
@@ -651,7 +667,7 @@
   void EndStop() {
     LogEvent(kRouterDrained, {{"requests", dispatcher_.in_flight()}});
     dispatcher_.AbandonAll();
-    front_.StopAccepting();
+    http_server_.StopAccepting();
     if (stop_done_) {
       std::exchange(stop_done_, nullptr)();
     }
@@ -667,7 +683,7 @@
   CrashReporter crash_reporter_;
   ObservationReporter observation_reporter_;
   net::HttpClient client_;
-  std::function<void()> report_ask_;
+  std::function<void()> request_heartbeat_;
   std::function<void(std::uint64_t revision)> release_report_;
   TenantAdmission admission_;
   ExchangeDispatcher dispatcher_;
@@ -686,21 +702,21 @@
   asio::steady_timer renewal_timer_;
   std::uint64_t revision_ = 0;
   std::uint64_t released_revision_ = 0;
-  // As the newest view says.
+  // The zones that the newest view evacuates.
   std::set<std::string> evacuated_zones_;
-  // Under way, by service.
+  // The rollouts of the newest view, by service.
   std::map<std::string, session::RunningRollout> rollouts_;
-  // Services whose canaries get the base share only.
+  // Services whose canaries get only the base share.
   std::set<std::string> lapsed_shares_;
-  // The renewal timer runs.
+  // renewal_timer_ is armed.
   bool renewing_shares_ = false;
   MonotonicTime next_canary_report_ = MonotonicTime::min();
   bool was_ready_ = false;
   bool stopping_ = false;
   StopPlan stop_plan_;
   std::function<void()> stop_done_;
-  net::HttpServer front_;
-  net::HttpServer ready_;
+  net::HttpServer http_server_;
+  net::HttpServer ready_server_;
 };
 
 RouterServer::RouterServer(asio::io_context& context,
@@ -733,8 +749,9 @@
 }
 
 void RouterServer::OnRateGrants(const std::vector<quota::RateGrant>& grants,
-                                std::uint64_t term, MonotonicTime asked_at) {
-  implementation_->OnRateGrants(grants, term, asked_at);
+                                std::uint64_t term,
+                                MonotonicTime report_sent_at) {
+  implementation_->OnRateGrants(grants, term, report_sent_at);
 }
 
 std::vector<rollout::AnswerReport> RouterServer::MakeAnswerReport() {
@@ -745,8 +762,8 @@
 
 void RouterServer::OnSharesRenewed(
     const std::vector<rollout::RolloutNumber>& rollouts,
-    MonotonicTime asked_at) {
-  implementation_->OnSharesRenewed(rollouts, asked_at);
+    MonotonicTime report_sent_at) {
+  implementation_->OnSharesRenewed(rollouts, report_sent_at);
 }
 
 void RouterServer::SetObservationReport(ObservationReporter::Report report) {
--- a/source/common/forwarding/router_server.h
+++ b/source/common/forwarding/router_server.h
@@ -1,8 +1,10 @@
-// The router: takes clients' HTTP requests and forwards each by the route table
-// to discovered back ends. Uses the newest view that its session has; a router
-// that is cut off from control goes on with what it has.
+// The router: accepts clients' HTTP requests and forwards each one to
+// discovered backends as the route table says. The router uses the newest fleet
+// view of its session; a router that is partitioned from the control group
+// keeps using the latest view that it received.
 //
-// Owns its listeners and connections; the session belongs to the caller.
+// The daemon's router role owns the server and the session with the control
+// group. The server owns its listeners and connections.
 #pragma once
 
 #include <prometheus/registry.h>
@@ -27,66 +29,79 @@
 
 namespace juniperway::forwarding {
 
+// Settings of one router.
 struct RouterOptions {
   std::string name;
   asio::ip::tcp::endpoint http_listen;
-  // GET /v1/ready answers 200 while requests should come here, else 503.
+  // GET /v1/ready answers 200 while the router is ready for requests, else 503.
   asio::ip::tcp::endpoint ready_listen;
   HeaderNames headers;
   PoolOptions pool;
   RunOptions run;
-  // In a planned stop: how long new requests are still taken, because load
-  // balancers take a while to see that the router is not ready any more.
+  // How long the router accepts new requests after a graceful shutdown begins:
+  // load balancers notice only after a delay that it is no longer ready.
   Duration stop_notice = milliseconds(2500);
 };
 
+// One router; runs on the io_context's thread.
 class RouterServer {
  public:
   // @param registry outlives the router.
-  // Throws std::exception when an address cannot be bound.
+  // Throws std::exception when the router cannot bind an address.
   RouterServer(asio::io_context& context, const RouterOptions& options,
                prometheus::Registry& registry);
   ~RouterServer();
   RouterServer(const RouterServer&) = delete;
   RouterServer& operator=(const RouterServer&) = delete;
 
+  // Called with each new fleet view of the session.
   void OnView(const session::FleetViewPointer& view);
 
-  // @param report passes on to control what this router sees of requests under
-  //   which back ends end. To be set before requests come.
+  // Must be called before the first request.
+  // @param report sends a crash report to the control group.
   void SetCrashReport(CrashReporter::Report report);
 
-  // @param ask a heartbeat should be sent soon, for what it carries. To be set
-  //   before requests come.
+  // Must be called before the first request.
+  // @param ask makes the session send a heartbeat soon, for the reports that
+  // the
+  //   heartbeat carries.
   void SetReportAsk(std::function<void()> ask);
 
-  // @param report as of this revision no attempt of this router is under way at
-  //   a back end that gets no new work. Called while a roll-out is under way.
-  //   To be set before requests come.
+  // Must be called before the first request.
+  // @param report reports to the control group that this router has no attempt
+  //   in flight at a retired backend as of `revision`. Called while any service
+  //   has a rollout.
   void SetReleaseReport(std::function<void(std::uint64_t revision)> report);
-  // Leased rates of tenants' limits, which travel in the session's heartbeats.
+  // Returns the demand for tokens of the tenants' limits, which the session's
+  // heartbeats carry.
   quota::RateReport MakeRateReport(MonotonicTime now);
   // See session::ControlSessionClient::RatePorts.
   void OnRateGrants(const std::vector<quota::RateGrant>& grants,
-                    std::uint64_t term, MonotonicTime asked_at);
+                    std::uint64_t term, MonotonicTime report_sent_at);
 
-  // Reports on canaries, which travel in the session's heartbeats.
+  // Returns the reports on canaries' answers, which the session's heartbeats
+  // carry.
   std::vector<rollout::AnswerReport> MakeAnswerReport();
-  // A leader hears the reports that has heard none before.
+  // Called when the session reaches another leader: the router sends all its
+  // canary reports again, because a new leader has received none.
   void OnNewLeader();
   // See session::ControlSessionClient::AnswerReportPorts.
   void OnSharesRenewed(const std::vector<rollout::RolloutNumber>& rollouts,
-                       MonotonicTime asked_at);
+                       MonotonicTime report_sent_at);
 
-  // @param report passes on to control what this router sees of back ends; what
-  //   it does not reach is lost. To be set before requests come.
+  // Must be called before the first request.
+  // @param report sends this router's observations of backends to the control
+  //   group, without retries.
   void SetObservationReport(ObservationReporter::Report report);
-  // What other routers see of back ends.
+  // Called with the observations of backends by other routers.
   void OnObservations(const observation::BackendObservations& observations);
 
-  // Planned stop: not ready at once; requests go on being taken for the notice
-  // time, and each answer closes its connection. `done` runs once nothing is
-  // under way, or after `timeout`, when the rest is answered as given up.
+  // Begins a graceful shutdown. The router is not ready from now on, but
+  // accepts requests for RouterOptions::stop_notice; each answer closes its
+  // connection.
+  // @param timeout time until the process is killed.
+  // @param done called once no request is in flight, or shortly before the
+  //   timeout, after the router has abandoned the remaining requests.
   void Stop(Duration timeout, std::function<void()> done);
 
   asio::ip::tcp::endpoint http_endpoint() const;
--- a/source/common/forwarding/startup_queue.cc
+++ b/source/common/forwarding/startup_queue.cc
@@ -5,7 +5,7 @@
 namespace juniperway::forwarding {
 
 StartupQueue::StartupQueue(asio::io_context& context, Handler on_expired)
-    : timer_(context, kLongestHold) {
+    : timer_(context, kMaximumQueueTime) {
   timer_.async_wait([this, on_expired = std::move(on_expired)](
                         const asio::error_code& error) {
     if (!error) {
@@ -14,25 +14,25 @@
   });
 }
 
-bool StartupQueue::Hold(const net::HttpRequest& message,
-                        const std::shared_ptr<net::HttpResponder>& responder,
-                        MonotonicTime now) {
+bool StartupQueue::Enqueue(const net::HttpRequest& message,
+                           const std::shared_ptr<net::HttpResponder>& responder,
+                           MonotonicTime now) {
   const std::size_t bytes = body_bytes_ + message.body.size();
-  if (closed_ || held_.size() >= kMaximumRequests ||
+  if (closed_ || queued_.size() >= kMaximumRequests ||
       bytes > kMaximumBodyBytes) {
     return false;
   }
   body_bytes_ = bytes;
-  auto held = std::make_shared<HeldRequest>();
-  held->message = message;
-  held->responder = responder;
-  held->arrived = now;
-  responder->OnCallerGone([weak = std::weak_ptr<HeldRequest>(held)] {
+  auto queued = std::make_shared<QueuedRequest>();
+  queued->message = message;
+  queued->responder = responder;
+  queued->arrived = now;
+  responder->OnCallerGone([weak = std::weak_ptr<QueuedRequest>(queued)] {
     if (const auto request = weak.lock()) {
-      request->caller_gone = true;
+      request->client_gone = true;
     }
   });
-  held_.push_back(std::move(held));
+  queued_.push_back(std::move(queued));
   return true;
 }
 
@@ -40,9 +40,9 @@
   closed_ = true;
   timer_.cancel();
   body_bytes_ = 0;
-  const auto released = std::exchange(held_, {});
-  for (const HeldRequestPointer& request : released) {
-    if (!request->caller_gone) {
+  const auto released = std::exchange(queued_, {});
+  for (const QueuedRequestPointer& request : released) {
+    if (!request->client_gone) {
       handler(request);
     }
   }
--- a/source/common/forwarding/startup_queue.h
+++ b/source/common/forwarding/startup_queue.h
@@ -1,6 +1,7 @@
-// Requests that reach a router before it has its first route table. A router
-// that has just started gets the table within a fraction of a second; refusing
-// what arrives until then would cost clients one of their few tries.
+// Queues requests that reach a router before it has its first route table. A
+// router that has just started receives the table within a fraction of a
+// second; refusing requests until then would cost clients one of their few
+// retries. RouterServer owns the queue, which runs on the io_context's thread.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -15,42 +16,44 @@
 
 namespace juniperway::forwarding {
 
+// A bounded queue of early requests; see the top of this file.
 class StartupQueue {
  public:
-  // What is held is handed back after this time since the start at the latest:
-  // about twice what a router takes to its table while control answers. It is
-  // short of the second for which clients wait for a first sign.
-  static constexpr Duration kLongestHold = milliseconds(900);
+  // Queued requests expire this long after the router's start: about twice the
+  // time until the first table while the control group answers. It is shorter
+  // than the second that clients wait for the first byte of an answer.
+  static constexpr Duration kMaximumQueueTime = milliseconds(900);
   static constexpr std::size_t kMaximumRequests = 512;
   static constexpr std::size_t kMaximumBodyBytes = 8U << 20;
 
-  struct HeldRequest {
+  struct QueuedRequest {
     net::HttpRequest message;
     std::shared_ptr<net::HttpResponder> responder;
     MonotonicTime arrived;
-    bool caller_gone = false;
+    bool client_gone = false;
   };
-  using HeldRequestPointer = std::shared_ptr<HeldRequest>;
-  using Handler = std::function<void(const HeldRequestPointer&)>;
+  using QueuedRequestPointer = std::shared_ptr<QueuedRequest>;
+  using Handler = std::function<void(const QueuedRequestPointer&)>;
 
-  // @param on_expired gets what is still held when the time is over.
+  // @param on_expired called with each request that is still queued after
+  //   kMaximumQueueTime.
   StartupQueue(asio::io_context& context, Handler on_expired);
 
-  // @return false when the request cannot be held: the time is over, or the
-  //   queue is full.
-  bool Hold(const net::HttpRequest& message,
-            const std::shared_ptr<net::HttpResponder>& responder,
-            MonotonicTime now);
+  // @return false when the request cannot be queued: the queue is closed or
+  //   full.
+  bool Enqueue(const net::HttpRequest& message,
+               const std::shared_ptr<net::HttpResponder>& responder,
+               MonotonicTime now);
 
-  // Hands everything to `handler`, in the order of arrival, and holds nothing
-  // from then on.
+  // Passes the queued requests whose client is still connected to `handler`, in
+  // the order of arrival, and closes the queue.
   void Release(const Handler& handler);
 
-  std::size_t size() const { return held_.size(); }
+  std::size_t size() const { return queued_.size(); }
 
  private:
   bool closed_ = false;
-  std::list<HeldRequestPointer> held_;
+  std::list<QueuedRequestPointer> queued_;
   std::size_t body_bytes_ = 0;
   asio::steady_timer timer_;
 };
--- a/source/common/forwarding/stop_plan.cc
+++ b/source/common/forwarding/stop_plan.cc
@@ -5,17 +5,17 @@
 namespace juniperway::forwarding {
 namespace {
 
-// Share of the time that is kept for the end of the process: one part of these.
-constexpr int kReserveParts = 8;
-// Share of the time in which new requests are taken at most: one part of these.
-constexpr int kNoticeParts = 2;
+// 1/8 of the timeout is reserved for the end of the process.
+constexpr int kReserveDivisor = 8;
+// The router accepts new requests for at most 1/2 of the timeout.
+constexpr int kNoticeDivisor = 2;
 
 }  // namespace
 
 StopPlan PlanStop(MonotonicTime began, Duration timeout, Duration notice) {
   StopPlan plan;
-  plan.notice_until = began + std::min(notice, timeout / kNoticeParts);
-  plan.abandon_at = began + timeout - timeout / kReserveParts;
+  plan.accept_until = began + std::min(notice, timeout / kNoticeDivisor);
+  plan.abandon_at = began + timeout - timeout / kReserveDivisor;
   return plan;
 }
 
--- a/source/common/forwarding/stop_plan.h
+++ b/source/common/forwarding/stop_plan.h
@@ -1,23 +1,26 @@
-// The moments of a router's planned stop, worked out from the time that the
-// process gets before it is killed. Pure.
+// Times of a router's graceful shutdown, computed from the time that the
+// process has before it is killed. Pure functions and values.
 #pragma once
 
 #include "common/base/time.h"
 
 namespace juniperway::forwarding {
 
+// The schedule of one graceful shutdown; RouterServer owns it.
 struct StopPlan {
-  // Until then new requests are taken: load balancers take a while to see that
-  // this router is not ready any more.
-  MonotonicTime notice_until;
-  // From then on what is under way is answered as given up. What is left of the
-  // time is for writing these answers, leaving the fleet and ending.
+  // Until then the router accepts new requests: load balancers notice only
+  // after a delay that the router is no longer ready.
+  MonotonicTime accept_until;
+  // At this time the router abandons the requests in flight and answers their
+  // clients. The remaining time is for writing these answers, leaving the fleet
+  // and ending the process.
   MonotonicTime abandon_at;
 };
 
-// @param began when the stop was asked for.
-// @param timeout until the process is killed.
-// @param notice how long callers take to notice at most.
+// Computes the schedule of a graceful shutdown.
+// @param began when the shutdown was requested.
+// @param timeout time from `began` until the process is killed.
+// @param notice maximum time that load balancers take to notice the shutdown.
 StopPlan PlanStop(MonotonicTime began, Duration timeout, Duration notice);
 
 }  // namespace juniperway::forwarding
--- a/source/common/forwarding/tenant_admission.cc
+++ b/source/common/forwarding/tenant_admission.cc
@@ -18,15 +18,15 @@
 }
 
 TenantAdmission::TenantAdmission(asio::io_context& context,
-                                 std::function<void()> ask)
-    : ask_(std::move(ask)), timer_(context) {}
+                                 std::function<void()> request_report)
+    : request_report_(std::move(request_report)), timer_(context) {}
 
 void TenantAdmission::Admit(const std::string& tenant, Callback callback) {
   const MonotonicTime now = ReadMonotonicClock();
   leases_.OnDemand(tenant, now);
   if (leases_.TryTake(tenant, now)) {
     if (leases_.NeedsTokens(tenant, now)) {
-      ask_();
+      request_report_();
     }
     callback(LimitDecision::kAdmitted, Duration(0));
     return;
@@ -36,8 +36,8 @@
     callback(LimitDecision::kOverLimit, exhausted_until - now);
     return;
   }
-  ask_();
-  if (control_silent_) {
+  request_report_();
+  if (control_unresponsive_) {
     callback(LimitDecision::kUndecided, kUndecidedRetryAfter);
     return;
   }
@@ -48,7 +48,7 @@
   ArmTimer();
 }
 
-void TenantAdmission::GiveBack(const std::string& tenant) {
+void TenantAdmission::ReleaseToken(const std::string& tenant) {
   leases_.GiveBack(tenant, ReadMonotonicClock());
 }
 
@@ -56,9 +56,9 @@
     const std::string& tenant) {
   const MonotonicTime now = ReadMonotonicClock();
   if (leases_.TryTake(tenant, now)) {
-    return now + kTokenLife;
+    return now + kTokenTimeToLive;
   }
-  ask_();
+  request_report_();
   return std::nullopt;
 }
 
@@ -67,16 +67,18 @@
 }
 
 void TenantAdmission::OnGrants(const std::vector<quota::RateGrant>& grants,
-                               std::uint64_t term, MonotonicTime asked_at) {
-  control_silent_ = false;
+                               std::uint64_t term,
+                               MonotonicTime report_sent_at) {
+  control_unresponsive_ = false;
   for (const quota::RateGrant& grant : grants) {
-    OnGrant(grant, term, asked_at, ReadMonotonicClock());
+    OnGrant(grant, term, report_sent_at, ReadMonotonicClock());
   }
 }
 
 void TenantAdmission::OnGrant(const quota::RateGrant& grant, std::uint64_t term,
-                              MonotonicTime asked_at, MonotonicTime now) {
-  const std::uint32_t admitted = leases_.OnGrant(grant, term, asked_at, now);
+                              MonotonicTime report_sent_at, MonotonicTime now) {
+  const std::uint32_t admitted =
+      leases_.OnGrant(grant, term, report_sent_at, now);
   for (const Callback& callback : TakeWaiting(grant.key, admitted)) {
     callback(LimitDecision::kAdmitted, Duration(0));
   }
@@ -122,7 +124,7 @@
     std::ranges::move(TakeWaiting(tenant, static_cast<std::size_t>(late)),
                       std::back_inserter(expired));
   }
-  control_silent_ |= !expired.empty();
+  control_unresponsive_ |= !expired.empty();
   for (const Callback& callback : expired) {
     callback(LimitDecision::kUndecided, kUndecidedRetryAfter);
   }
@@ -136,9 +138,9 @@
   for (const auto& [tenant, queue] : waiting_) {
     oldest = std::min(oldest, queue.front().since);
   }
-  const Duration left = oldest + kLongestAsk - ReadMonotonicClock();
+  const Duration remaining = oldest + kLongestAsk - ReadMonotonicClock();
   timer_armed_ = true;
-  timer_.expires_after(std::max(left, Duration(0)));
+  timer_.expires_after(std::max(remaining, Duration(0)));
   timer_.async_wait([this](const asio::error_code& error) {
     if (!error) {
       timer_armed_ = false;
--- a/source/common/forwarding/tenant_admission.h
+++ b/source/common/forwarding/tenant_admission.h
@@ -1,9 +1,10 @@
-// Lets requests of tenants through as far as the tenants' limits go, over the
-// whole fleet. Most requests find a token of the router's own lease; one that
-// does not waits until the leader was asked, which takes a round trip.
+// Enforces the tenants' rate limits, which hold across all routers of the
+// fleet. Most requests take a token from the router's own lease. Without a
+// token a request waits for the leader's next grant, which takes one round
+// trip.
 //
-// The decisions are quota::RateLeases; this adds the requests that wait and
-// their timer. One event loop.
+// quota::RateLeases makes the decisions; this class adds the queue of waiting
+// requests and their timer. RouterServer owns it; it runs on one event loop.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -24,45 +25,50 @@
 enum class LimitDecision {
   kAdmitted,
   kOverLimit,  // The tenant has used up its limit.
-  kUndecided,  // Control did not answer, and the router holds no token.
+  kUndecided,  // The control group did not answer; the router has no token.
 };
+// The name in logs and metrics.
 const char* NameOf(LimitDecision decision);
 
+// Admits or refuses requests of rate-limited tenants.
 class TenantAdmission {
  public:
-  // How long a request waits for control's answer: eight round trips between
-  // regions (24 ms). It does not last over an election (about a second); a
-  // client that is refused after it has time to try again.
+  // How long a request waits for a grant: eight round trips between regions
+  // (24 ms). It is shorter than a leader election (about a second), so that a
+  // refused client has time to send the request again.
   static constexpr Duration kLongestAsk = milliseconds(200);
-  // After a refusal for want of an answer: half of the time that an election
-  // takes.
+  // Retry-After of a kUndecided refusal: half of the time that a leader
+  // election takes.
   static constexpr Duration kUndecidedRetryAfter = milliseconds(500);
 
-  // @param retry_after of a refusal: when there may be a token.
+  // @param retry_after of a refusal: time until a token may be available.
   using Callback =
       std::function<void(LimitDecision decision, Duration retry_after)>;
 
-  // @param ask control should be sent MakeReport() soon.
-  TenantAdmission(asio::io_context& context, std::function<void()> ask);
+  // @param request_report called when MakeReport() should be sent to the
+  //   control group soon.
+  TenantAdmission(asio::io_context& context,
+                  std::function<void()> request_report);
 
-  // Calls back once, at once or within kLongestAsk.
+  // Calls `callback` once: immediately or within kLongestAsk.
   void Admit(const std::string& tenant, Callback callback);
-  // The request was never sent to a back end.
-  void GiveBack(const std::string& tenant);
-  // Another token for a request that waited too long to use its own.
-  // @return until when it is to be used; nothing: there is none.
+  // Releases the token of a request that was never sent to a backend.
+  void ReleaseToken(const std::string& tenant);
+  // Takes another token for a request whose own token has expired.
+  // @return when the new token expires; std::nullopt when there is none.
   std::optional<MonotonicTime> RenewToken(const std::string& tenant);
 
   quota::RateReport MakeReport(MonotonicTime now);
-  // @param asked_at when the report that they answer was sent.
+  // @param report_sent_at when the router sent the report that the grants
+  //   answer.
   void OnGrants(const std::vector<quota::RateGrant>& grants, std::uint64_t term,
-                MonotonicTime asked_at);
+                MonotonicTime report_sent_at);
 
   quota::RateLeases::Insight Describe(const std::string& tenant);
   std::size_t waiting() const { return waiting_count_; }
 
-  // How long an admitted request may take until it is sent.
-  static constexpr Duration kTokenLife = quota::kLongestGrantAge;
+  // How long after its admission a request may use its token.
+  static constexpr Duration kTokenTimeToLive = quota::kLongestGrantAge;
 
  private:
   struct Waiting {
@@ -70,23 +76,24 @@
     MonotonicTime since;
   };
 
-  // Takes the first `count` out of the tenant's queue.
+  // Removes the first `count` requests from the tenant's queue.
+  // @return their callbacks.
   std::vector<Callback> TakeWaiting(const std::string& tenant,
                                     std::size_t count);
   void OnGrant(const quota::RateGrant& grant, std::uint64_t term,
-               MonotonicTime asked_at, MonotonicTime now);
+               MonotonicTime report_sent_at, MonotonicTime now);
   void ExpireWaiting();
   void ArmTimer();
 
-  std::function<void()> ask_;
+  std::function<void()> request_report_;
   asio::steady_timer timer_;
   bool timer_armed_ = false;
   quota::RateLeases leases_;
-  // By tenant, the oldest first.
+  // By tenant; each queue has the oldest request first.
   std::map<std::string, std::deque<Waiting>> waiting_;
   std::size_t waiting_count_ = 0;
-  // A request waited in vain, and control has not answered since.
-  bool control_silent_ = false;
+  // A request waited kLongestAsk without a grant, and none has arrived since.
+  bool control_unresponsive_ = false;
 };
 
 }  // namespace juniperway::forwarding
--- a/source/common/forwarding/top_records.cc
+++ b/source/common/forwarding/top_records.cc
@@ -16,7 +16,7 @@
   }
   const std::size_t kept = std::min(count, records.size());
   const auto middle = records.begin() + static_cast<std::ptrdiff_t>(kept);
-  // char_traits compares as unsigned bytes.
+  // std::string_view compares characters as unsigned bytes.
   std::partial_sort(records.begin(), middle, records.end(), std::greater<>());
   std::string merged;
   merged.reserve(kept * kRecordBytes);
--- a/test/unit/forwarding/crash_guard_test.cc
+++ b/test/unit/forwarding/crash_guard_test.cc
@@ -1,4 +1,4 @@
-// How carefully a router handles requests under which back ends ended.
+// Tests how a router handles requests that crash backends.
 #include "common/forwarding/crash_guard.h"
 
 #include <doctest/doctest.h>
@@ -12,7 +12,7 @@
 constexpr RequestFingerprint kRequest{7};
 constexpr MonotonicTime kNow{seconds(100)};
 
-TEST_CASE("what the fleet says goes before what this router saw") {
+TEST_CASE("the verdicts of the fleet view take precedence") {
   CrashGuard guard;
   session::FleetView view;
   CHECK(guard.CautionFor(kRequest, kNow) == Caution::kNone);
@@ -29,31 +29,31 @@
   CHECK(guard.CautionFor(kRequest, kNow) == Caution::kNone);
 }
 
-TEST_CASE("a router acts on what it saw itself until it is told") {
+TEST_CASE("a router uses its own observations until it gets a verdict") {
   CrashGuard guard;
   guard.OnBackendsEnded(kRequest, {"a", "b"}, kNow);
   guard.OnBackendsEnded(kRequest, {"b"}, kNow);
   CHECK(guard.CautionFor(kRequest, kNow) == Caution::kNone);
   guard.OnBackendsEnded(kRequest, {"c"}, kNow);
   CHECK(guard.CautionFor(kRequest, kNow) == Caution::kTrial);
-  CHECK(guard.CautionFor(kRequest, kNow + CrashGuard::kMemory) ==
+  CHECK(guard.CautionFor(kRequest, kNow + CrashGuard::kObservationTimeToLive) ==
         Caution::kNone);
   CHECK(guard.OnSurvived(kRequest));
   CHECK(guard.CautionFor(kRequest, kNow) == Caution::kNone);
   CHECK_FALSE(guard.OnSurvived(kRequest));
 }
 
-TEST_CASE("what it remembers is bounded, and the oldest goes first") {
+TEST_CASE("observations are bounded, and the oldest is evicted first") {
   CrashGuard guard;
-  const std::vector<std::string> ended = {"a", "b", "c"};
-  for (std::uint64_t value = 0; value <= CrashGuard::kMaximumRemembered;
+  const std::vector<std::string> crashed = {"a", "b", "c"};
+  for (std::uint64_t value = 0; value <= CrashGuard::kMaximumObservations;
        ++value) {
-    guard.OnBackendsEnded({value}, ended, kNow + milliseconds(value));
+    guard.OnBackendsEnded({value}, crashed, kNow + milliseconds(value));
   }
   const MonotonicTime later = kNow + seconds(2);
   CHECK(guard.CautionFor({0}, later) == Caution::kNone);
   CHECK(guard.CautionFor({1}, later) == Caution::kTrial);
-  CHECK(guard.CautionFor({CrashGuard::kMaximumRemembered}, later) ==
+  CHECK(guard.CautionFor({CrashGuard::kMaximumObservations}, later) ==
         Caution::kTrial);
 }
 
--- a/test/unit/forwarding/startup_queue_test.cc
+++ b/test/unit/forwarding/startup_queue_test.cc
@@ -1,4 +1,4 @@
-// Requests that come before a router's first route table.
+// Tests the queue of requests that arrive before a router's first route table.
 #include "common/forwarding/startup_queue.h"
 
 #include <doctest/doctest.h>
@@ -31,14 +31,14 @@
 
 struct Queue {
   StartupQueue::Handler Into(std::vector<std::string>& targets) {
-    return [&targets](const StartupQueue::HeldRequestPointer& held) {
-      targets.push_back(held->message.target);
+    return [&targets](const StartupQueue::QueuedRequestPointer& queued) {
+      targets.push_back(queued->message.target);
     };
   }
 
-  bool Hold(const net::HttpRequest& request) {
+  bool Enqueue(const net::HttpRequest& request) {
     responders.push_back(std::make_shared<FakeResponder>());
-    return queue.Hold(request, responders.back(), now);
+    return queue.Enqueue(request, responders.back(), now);
   }
 
   asio::io_context context;
@@ -48,10 +48,10 @@
   MonotonicTime now{seconds(100)};
 };
 
-TEST_CASE("what is held is handed on in the order of arrival, once") {
+TEST_CASE("queued requests are released in the order of arrival, once") {
   Queue world;
-  CHECK(world.Hold(Request("/a")));
-  CHECK(world.Hold(Request("/b")));
+  CHECK(world.Enqueue(Request("/a")));
+  CHECK(world.Enqueue(Request("/b")));
   std::vector<std::string> released;
   world.queue.Release(world.Into(released));
   world.queue.Release(world.Into(released));
@@ -60,25 +60,25 @@
   CHECK_FALSE(world.responders.front()->sent);
 }
 
-TEST_CASE("nothing is held once the table is there") {
+TEST_CASE("a released queue accepts no requests") {
   Queue world;
   std::vector<std::string> released;
   world.queue.Release(world.Into(released));
-  CHECK_FALSE(world.Hold(Request("/a")));
+  CHECK_FALSE(world.Enqueue(Request("/a")));
 }
 
-TEST_CASE("what is still held when the time is over is handed to the refuser") {
+TEST_CASE("requests that are still queued when the time is over expire") {
   Queue world;
-  CHECK(world.Hold(Request("/a")));
+  CHECK(world.Enqueue(Request("/a")));
   world.context.run();
   CHECK(world.expired == std::vector<std::string>{"/a"});
-  CHECK_FALSE(world.Hold(Request("/b")));
+  CHECK_FALSE(world.Enqueue(Request("/b")));
 }
 
-TEST_CASE("a request whose caller has left is dropped") {
+TEST_CASE("a request whose client has disconnected is dropped") {
   Queue world;
-  CHECK(world.Hold(Request("/a")));
-  CHECK(world.Hold(Request("/b")));
+  CHECK(world.Enqueue(Request("/a")));
+  CHECK(world.Enqueue(Request("/b")));
   world.responders.front()->gone();
   std::vector<std::string> released;
   world.queue.Release(world.Into(released));
@@ -89,16 +89,16 @@
   Queue world;
   SUBCASE("requests") {
     for (std::size_t i = 0; i < StartupQueue::kMaximumRequests; ++i) {
-      REQUIRE(world.Hold(Request("/a")));
+      REQUIRE(world.Enqueue(Request("/a")));
     }
-    CHECK_FALSE(world.Hold(Request("/a")));
+    CHECK_FALSE(world.Enqueue(Request("/a")));
   }
   SUBCASE("bytes") {
     const std::string half(StartupQueue::kMaximumBodyBytes / 2, 'x');
-    CHECK(world.Hold(Request("/a", half)));
-    CHECK(world.Hold(Request("/a", half)));
-    CHECK_FALSE(world.Hold(Request("/a", "y")));
-    CHECK(world.Hold(Request("/a")));
+    CHECK(world.Enqueue(Request("/a", half)));
+    CHECK(world.Enqueue(Request("/a", half)));
+    CHECK_FALSE(world.Enqueue(Request("/a", "y")));
+    CHECK(world.Enqueue(Request("/a")));
   }
 }
 
