--- a/test/integration/forwarding/crashing_requests_test.cc
+++ b/test/integration/forwarding/crashing_requests_test.cc
@@ -1,18 +1,14 @@
-// Requests that end the back ends which run them, with real processes.
+// Tests requests that crash backends, with real processes.
 //
-// Users saw a whole service go away for seconds, three times in a row and again
-// minutes later: a caller had sent one query that crashed each back end which
-// began to run it, from several of its machines. The router took each lost
-// connection for a lost answer and repeated the attempt at the shard's next
-// replica, for every shard at once, so that one try ended all replicas of all
-// shards; the caller then sent the same query again, to another router, which
-// knew nothing of it.
+// The failure that the tests guard against: a client sends a query that crashes
+// every backend which runs it. If the router treats each lost connection as a
+// lost answer, it retries at the next replica of every shard, so that one
+// request crashes all replicas of all shards. The client then sends the query
+// again, from another host and to another router, which has observed nothing.
 //
-// Evidence: no back end ever answered any attempt of these queries; their
-// connections were lost after the query had been sent, and right after that
-// nobody listened at the back ends' addresses, which came back under new ids.
-// Other queries that lost connections at the same moment were answered by some
-// back end, most of them by the same service.
+// Such a query differs from others that lose their connections at the same
+// time: no backend ever answers it, and no process listens at the lost
+// backends' addresses afterwards.
 #include <doctest/doctest.h>
 #include <fmt/format.h>
 
@@ -28,7 +24,7 @@
 
 constexpr Duration kLimit = seconds(60);
 // The fixture's extra_window_s.
-constexpr Duration kExtraWindow = seconds(1);
+constexpr Duration kRetryBudgetWindow = seconds(1);
 constexpr int kShards = 4;
 constexpr int kReplicas = 3;
 const std::string kFatal = "/all/fatal";
@@ -46,34 +42,36 @@
                {"name": "s3", "maximum_connections": 100},
                {"name": "s4", "maximum_connections": 100}]})";
 
-// A fleet of two routers over shards of several replicas, each of which ends
-// while it runs the fatal request.
-class FragileFleet {
+// Two routers over shards with several replicas, each of which crashes while it
+// runs the fatal request.
+class CrashingFleet {
  public:
-  FragileFleet() : fleet_(/*machines=*/3, /*routers=*/2) {
+  CrashingFleet() : fleet_(/*control_nodes=*/3, /*routers=*/2) {
     for (int shard = 1; shard <= kShards; ++shard) {
       for (int replica = 1; replica <= kReplicas; ++replica) {
         fleet_.AddBackend(fmt::format("b{}.{}", shard, replica),
                           fmt::format("s{}", shard));
       }
     }
-    MakeFragile();
+    SetFatalTarget();
     REQUIRE(fleet_.PutTable(kTable) == 200);
     REQUIRE(AwaitWholeAnswers());
-    // A router that has just started has no slack for further attempts. To wait
-    // longer than this changes nothing.
-    std::this_thread::sleep_for(kExtraWindow);
+    // A router that has just started has no slack in its retry budget before
+    // this window has passed.
+    std::this_thread::sleep_for(kRetryBudgetWindow);
   }
 
-  // The fatal request, each try from another address: a caller has several
-  // machines, and sends it again from any of them.
+  // Sends the fatal request, each time from another address: a client has
+  // several hosts and sends the request again from any of them.
   net::HttpClientResponse SendFatal(int router) {
-    ++tries_;
-    return fleet_.RequestFrom(fmt::format("127.0.1.{}", tries_), kFatal,
-                              fmt::format("fatal-{}", tries_), router);
+    ++fatal_requests_sent_;
+    return fleet_.RequestFrom(
+        fmt::format("127.0.1.{}", fatal_requests_sent_), kFatal,
+        fmt::format("fatal-{}", fatal_requests_sent_), router);
   }
 
-  // Every shard's part of an ordinary request is in, at each router.
+  // Waits until each router answers an ordinary request with the parts of all
+  // shards.
   bool AwaitWholeAnswers() {
     return lab::WaitFor(kLimit, [&] {
       return IsWhole(fleet_.Request("/all/ordinary", "ordinary", 0)) &&
@@ -81,21 +79,22 @@
     });
   }
 
-  // Starts what has ended again, and forgets what has arrived so far.
+  // Restarts the crashed backends, and makes Arrivals() count from zero.
   void Restart() {
-    fleet_.RestartEnded();
-    MakeFragile();
+    fleet_.RestartCrashed();
+    SetFatalTarget();
     arrivals_before_ = 0;
     arrivals_before_ = Arrivals();
   }
 
-  std::ptrdiff_t Ended() const {
+  std::ptrdiff_t Crashed() const {
     return std::ranges::count_if(fleet_.backends(), [](const auto& backend) {
-      return backend->ended();
+      return backend->crashed();
     });
   }
 
-  // Of fatal requests at back ends that run now, since Restart.
+  // @return the number of fatal requests that arrived at the running backends
+  //   since Restart.
   std::ptrdiff_t Arrivals() const {
     std::ptrdiff_t arrivals = 0;
     for (const auto& backend : fleet_.backends()) {
@@ -116,43 +115,43 @@
            missing->second == "0";
   }
 
-  void MakeFragile() {
+  void SetFatalTarget() {
     for (const auto& backend : fleet_.backends()) {
-      backend->EndOn("/all/fatal");
+      backend->CrashOn("/all/fatal");
     }
   }
 
   RouteFleet fleet_;
-  int tries_ = 0;
+  int fatal_requests_sent_ = 0;
   std::ptrdiff_t arrivals_before_ = 0;
 };
 
-TEST_CASE("a request that ended three back ends reaches hardly any more") {
-  FragileFleet fragile;
-  // The caller's first try, and its retry at another router.
-  CHECK(fragile.SendFatal(0).status >= 500);
-  CHECK(fragile.SendFatal(1).status >= 500);
-  REQUIRE(fragile.Ended() >= 3);
-  REQUIRE(fragile.fleet().AwaitQuarantine());
-  fragile.Restart();
-  REQUIRE(fragile.AwaitWholeAnswers());
-
-  // It comes again and again, at any router.
+TEST_CASE("a request that crashed three backends is quarantined") {
+  CrashingFleet crashing;
+  // The client sends the request, and sends it again to another router.
+  CHECK(crashing.SendFatal(0).status >= 500);
+  CHECK(crashing.SendFatal(1).status >= 500);
+  REQUIRE(crashing.Crashed() >= 3);
+  REQUIRE(crashing.fleet().AwaitQuarantine());
+  crashing.Restart();
+  REQUIRE(crashing.AwaitWholeAnswers());
+
+  // The client keeps sending the request, to either router.
   for (const int router : {1, 0, 1, 0}) {
-    CHECK(fragile.SendFatal(router).status >= 500);
+    CHECK(crashing.SendFatal(router).status >= 500);
   }
-  CHECK(fragile.Arrivals() == 0);
-  // Other callers are served all the while.
-  CHECK(fragile.AwaitWholeAnswers());
+  CHECK(crashing.Arrivals() == 0);
+  // The routers still serve other clients.
+  CHECK(crashing.AwaitWholeAnswers());
 }
 
-TEST_CASE("one try of such a request leaves each shard its other replicas") {
-  FragileFleet fragile;
-  CHECK(fragile.SendFatal(0).status >= 500);
-  // One replica a shard, and one more that tells the request from an unlucky
-  // one.
-  CHECK(fragile.Arrivals() <= kShards + 1);
-  CHECK(fragile.AwaitWholeAnswers());
+TEST_CASE("sending such a request once leaves each shard other replicas") {
+  CrashingFleet crashing;
+  CHECK(crashing.SendFatal(0).status >= 500);
+  // One replica of each shard, and one more, whose crash shows that the losses
+  // were no coincidence.
+  CHECK(crashing.Arrivals() <= kShards + 1);
+  CHECK(crashing.AwaitWholeAnswers());
 }
 
 }  // namespace
--- a/test/integration/forwarding/evacuation_test.cc
+++ b/test/integration/forwarding/evacuation_test.cc
@@ -1,5 +1,6 @@
-// Evacuation of a zone with real processes: the router obeys it, it outlives
-// the loss of every control machine, and it ends when it is withdrawn.
+// Tests the evacuation of a zone with real processes: the router sends nothing
+// to the zone, the order survives a crash of every control node, and it ends
+// when an operator withdraws it.
 #include <doctest/doctest.h>
 
 #include "integration/forwarding/route_fleet.h"
@@ -11,10 +12,10 @@
   {"name": "one", "host": "test.example", "path_prefix": "/one/",
    "execution": "repeatable", "timeout_ms": 3000, "service": "s1"}],
   "services": [{"name": "s1", "maximum_connections": 10}]})";
-// The zone of all back ends of the fixture.
+// The zone of all backends of the fixture.
 const std::string kZone = "z";
 
-TEST_CASE("an evacuated zone gets nothing until the order is withdrawn") {
+TEST_CASE("an evacuated zone gets no requests until the order is withdrawn") {
   RouteFleet fleet(3);
   StandInBackend& backend = fleet.AddBackend("b1", "s1");
   REQUIRE(fleet.PutTable(kTable) == 200);
@@ -26,8 +27,8 @@
   CHECK(fleet.Request("/one/c").status == 503);
   CHECK(backend.Targets().size() == before);
 
-  fleet.KillControls();
-  // Sent again: acknowledged, and nothing changes.
+  fleet.RestartControls();
+  // The control group acknowledges a repeated order, and nothing changes.
   REQUIRE(fleet.CallControl("PUT", "/v1/evacuations/" + kZone) == 200);
   CHECK(fleet.Request("/one/d").status == 503);
   CHECK(backend.Targets().size() == before);
--- a/test/integration/forwarding/explain_test.cc
+++ b/test/integration/forwarding/explain_test.cc
@@ -1,5 +1,6 @@
-// Failed requests whose cause is planted, and is found from the logs of real
-// processes alone, by `juniperwayctl explain` (docs/OPERATIONS.md).
+// Tests that `juniperwayctl explain` finds the cause of a failed request from
+// the logs of real processes alone (docs/OPERATIONS.md). Each test causes one
+// failure.
 #include <doctest/doctest.h>
 #include <fmt/format.h>
 
@@ -18,8 +19,8 @@
 
 constexpr Duration kLimit = seconds(60);
 
-// A scatter that is answered at its target without the shards that are late,
-// and a route that is given up early.
+// A scatter that is answered at its target without late shards, and a route
+// with a short timeout.
 constexpr const char* kTable = R"({"version": 7, "routes": [
   {"name": "all", "host": "test.example", "path_prefix": "/all/",
    "execution": "repeatable", "timeout_ms": 15000, "target_ms": 300,
@@ -31,7 +32,8 @@
   "services": [{"name": "s1", "maximum_connections": 100},
                {"name": "s2", "maximum_connections": 100}]})";
 
-// @return what the command prints.
+// Runs the command.
+// @return its output.
 std::string RunExplain(const std::string& request_id,
                        const std::vector<std::string>& files) {
   std::vector<const char*> words = {"juniperwayctl", "explain",
@@ -48,30 +50,30 @@
   return out.str();
 }
 
-// The request's story. Lines are written a moment after the answer is sent, so
-// it is waited for: `last_event` is the request's last.
+// Runs the command until its output has `last_event`, the request's last event:
+// the router writes log lines shortly after it sends the answer.
 std::string Explain(const RouteFleet& fleet, const std::string& request_id,
                     const std::string& last_event) {
-  std::string story;
+  std::string explanation;
   lab::WaitFor(kLimit, [&] {
-    story = RunExplain(request_id, fleet.LogFiles());
-    return story.find(last_event) != std::string::npos;
+    explanation = RunExplain(request_id, fleet.LogFiles());
+    return explanation.find(last_event) != std::string::npos;
   });
-  return story;
+  return explanation;
 }
 
-void CheckNames(const std::string& story,
+void CheckNames(const std::string& explanation,
                 std::initializer_list<const char*> causes) {
-  CAPTURE(story);
+  CAPTURE(explanation);
   for (const char* cause : causes) {
     CAPTURE(cause);
-    CHECK(story.find(cause) != std::string::npos);
+    CHECK(explanation.find(cause) != std::string::npos);
   }
 }
 
-// A fleet that serves the table, with one back end for each of two services.
+// A fleet that serves the table, with one backend for each of two services.
 struct ServingFleet {
-  // @param target must be answered before the test begins.
+  // @param target the constructor waits until the fleet answers it with 200.
   explicit ServingFleet(const std::string& target) {
     REQUIRE(fleet.PutTable(kTable) == 200);
     REQUIRE(fleet.AwaitStatus(target, 200));
@@ -90,9 +92,9 @@
               "E3400 router_listening"});
 }
 
-TEST_CASE("a missing part: one back end is silent and its shard has no other") {
+TEST_CASE("a missing part: the only backend of a shard is unresponsive") {
   ServingFleet serving("/all/");
-  serving.two.SetAnswering(Answering::kHolds);
+  serving.two.SetAnswering(Answering::kWithholds);
   CHECK(serving.fleet.Request("/all/", "partial-1").status == 200);
   CheckNames(
       Explain(serving.fleet, "partial-1", "request_ended"),
@@ -101,16 +103,16 @@
        "E3405 route_table_taken version=7"});
 }
 
-TEST_CASE("a late answer: the only back end did not answer in time") {
+TEST_CASE("a timeout: the only backend did not answer in time") {
   ServingFleet serving("/one/");
-  serving.one.SetAnswering(Answering::kHolds);
+  serving.one.SetAnswering(Answering::kWithholds);
   CHECK(serving.fleet.Request("/one/late", "late-1").status == 504);
   CheckNames(Explain(serving.fleet, "late-1", "request_ended"),
              {"E3411 request_ended request=late-1", "route=one",
               "result=timed_out", "reason=deadline", "attempts=1"});
 }
 
-TEST_CASE("a failure: the back end's answers are another request's") {
+TEST_CASE("a failure: the backend answers with another request's id") {
   ServingFleet serving("/one/");
   serving.one.SetAnswering(Answering::kForeignId);
   CHECK(serving.fleet.Request("/one/foreign", "foreign-1").status == 502);
--- a/test/integration/forwarding/rollout_complete_test.cc
+++ b/test/integration/forwarding/rollout_complete_test.cc
@@ -1,5 +1,5 @@
-// A roll-out with real processes: a good version takes over although the leader
-// is lost meanwhile.
+// Tests a rollout with real processes: a good version is promoted to completion
+// although the leader crashes during the rollout.
 #include <doctest/doctest.h>
 
 #include <string>
@@ -9,7 +9,7 @@
 namespace juniperway::test {
 namespace {
 
-TEST_CASE("a good version takes over, and nothing goes to the old one") {
+TEST_CASE("a good version completes, and the baseline gets no more requests") {
   RolloutFleet fleet;
   REQUIRE(fleet.fleet.CallControl("POST", "/v1/rollouts", kRolloutOrder) ==
           200);
@@ -25,15 +25,15 @@
   CAPTURE(canary.Targets().size());
   CHECK(state == "complete");
   CHECK(fleet.failed == 0);
-  const auto old_requests = [&fleet] {
+  const auto baseline_requests = [&fleet] {
     return fleet.fleet.backends()[0]->Targets().size() +
            fleet.fleet.backends()[1]->Targets().size();
   };
-  const std::size_t before = old_requests();
+  const std::size_t before = baseline_requests();
   for (int i = 0; i < 100; ++i) {
     fleet.Request();
   }
-  CHECK(old_requests() == before);
+  CHECK(baseline_requests() == before);
 }
 
 }  // namespace
--- a/test/integration/forwarding/rollout_fleet.h
+++ b/test/integration/forwarding/rollout_fleet.h
@@ -1,5 +1,5 @@
-// A fleet of real processes with a roll-out under way, and the requests that
-// decide it.
+// A fleet of real processes with a rollout, and the requests that decide it.
+// Each test owns its fleet.
 #pragma once
 
 #include <doctest/doctest.h>
@@ -19,10 +19,12 @@
    "maximum_attempts": 2}],
   "services": [{"name": "s1", "maximum_connections": 200}]})";
 inline constexpr int kRolloutRouters = 3;
-// Enough for an election and a slow machine after each phase.
+// The duration leaves time for a leader election after each phase on slow
+// hardware.
 inline const std::string kRolloutOrder =
     R"({"service": "s1", "target_version": "v2", "duration_s": 20})";
 
+// Three routers over two backends of the baseline version.
 struct RolloutFleet {
   RolloutFleet() : fleet(3, kRolloutRouters) {
     fleet.AddBackend("old-1", "s1");
@@ -34,8 +36,8 @@
     }
   }
 
-  // One request at one router after the other; one of three is of the rare
-  // route.
+  // Sends one request, to the routers in turn; one of three requests uses the
+  // rare route.
   void Request() {
     ++requests;
     const std::size_t round =
@@ -48,7 +50,8 @@
     failed += answer.status == 200 ? 0 : 1;
   }
 
-  // Requests until the roll-out is decided.
+  // Sends requests until the rollout is decided.
+  // @return its state.
   std::string RequestUntilDecided() {
     std::string state = "running";
     while (state == "running" || state.empty()) {
@@ -60,9 +63,10 @@
     return state;
   }
 
-  // All requests of the rare route go to the first router.
+  // Whether all requests of the rare route go to the first router.
   bool rare_at_one_router = false;
   std::size_t requests = 0;
+  // Requests that were not answered with 200.
   std::size_t failed = 0;
   RouteFleet fleet;
 };
--- a/test/integration/forwarding/rollout_share_test.cc
+++ b/test/integration/forwarding/rollout_share_test.cc
@@ -1,5 +1,5 @@
-// A roll-out with real processes whose canaries get more than the base share
-// when all control machines are lost.
+// Tests a rollout with real processes whose canaries have more than the base
+// share when all control nodes crash.
 #include <doctest/doctest.h>
 
 #include "integration/forwarding/rollout_fleet.h"
@@ -7,15 +7,17 @@
 namespace juniperway::test {
 namespace {
 
-// Canaries get more than the base share, and the other version is still there,
-// for 9 s of it.
+// For 9 s of this rollout, canaries have more than the base share while the
+// baseline version still gets requests.
 const std::string kLongOrder =
     R"({"service": "s1", "target_version": "v2", "duration_s": 30})";
 constexpr int kBatch = 200;
-// 15 of a batch at the base share of 75 in a thousand, 60 while widening.
+// A canary gets 15 requests of a batch at the base share of 75 per mille, and
+// 60 after its promotion.
 constexpr std::size_t kNearBaseShare = 30;
-// 45 of three batches at the base share, 6.5 of a standard deviation.
-constexpr std::size_t kMostOfThreeBatches = 80;
+// A canary gets 45 requests of three batches at the base share, with a standard
+// deviation of 6.5.
+constexpr std::size_t kMaximumOfThreeBatches = 80;
 
 std::size_t CanaryRequests(RolloutFleet& fleet, const StandInBackend& canary,
                            int batches) {
@@ -26,8 +28,9 @@
   return canary.Targets().size() - before;
 }
 
-// Guards against canaries that keep a larger share while no leader judges them.
-TEST_CASE("routers go back to the base share without a leader") {
+// Guards against canaries that keep a larger share while no leader evaluates
+// them.
+TEST_CASE("routers return to the base share without a leader") {
   RolloutFleet fleet;
   REQUIRE(fleet.fleet.CallControl("POST", "/v1/rollouts", kLongOrder) == 200);
   StandInBackend& canary = fleet.fleet.AddBackend("new-1", "s1", "v2");
@@ -41,7 +44,7 @@
   }
   while (CanaryRequests(fleet, canary, 1) > kNearBaseShare) {
   }
-  CHECK(CanaryRequests(fleet, canary, 3) <= kMostOfThreeBatches);
+  CHECK(CanaryRequests(fleet, canary, 3) <= kMaximumOfThreeBatches);
   CHECK(fleet.failed == 0);
 }
 
--- a/test/integration/forwarding/rollout_test.cc
+++ b/test/integration/forwarding/rollout_test.cc
@@ -1,4 +1,4 @@
-// Roll-outs with real processes that are refused or undone.
+// Tests rollouts that are refused or rolled back, with real processes.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -9,16 +9,16 @@
 namespace juniperway::test {
 namespace {
 
-// The canary got no more than its share of the requests so far.
+// Checks that the canary got no more than its share of the requests so far.
 void CheckExposure(const RolloutFleet& fleet, const StandInBackend& canary) {
-  constexpr std::size_t kSlack = 10;
-  CHECK(canary.Targets().size() <= fleet.requests / 10 + kSlack);
+  constexpr std::size_t kTolerance = 10;
+  CHECK(canary.Targets().size() <= fleet.requests / 10 + kTolerance);
 }
 
-// Nothing reaches the canary once its withdrawal is in force at every router.
-// `rolled_back` alone says that it is replicated: routers that have not heard
-// of it go on with the share that they know.
-void CheckWithdrawn(RolloutFleet& fleet, const StandInBackend& canary) {
+// Checks that the canary gets no requests once the rollback is in force at
+// every router. The state `rolled_back` alone shows only that the rollback is
+// replicated: routers without the new view still use the previous share.
+void CheckRolledBack(RolloutFleet& fleet, const StandInBackend& canary) {
   REQUIRE(fleet.fleet.AwaitRolloutInForce("s1"));
   const std::size_t before = canary.Targets().size();
   for (int i = 0; i < 100; ++i) {
@@ -27,47 +27,47 @@
   CHECK(canary.Targets().size() == before);
 }
 
-TEST_CASE("a version that fails on one route is undone and gets nothing more") {
+TEST_CASE("a version that fails on one route is rolled back") {
   RolloutFleet fleet;
   REQUIRE(fleet.fleet.CallControl("POST", "/v1/rollouts", kRolloutOrder) ==
           200);
-  // Sent again: the same order.
+  // A repeated order is accepted.
   REQUIRE(fleet.fleet.CallControl("POST", "/v1/rollouts", kRolloutOrder) ==
           200);
   StandInBackend& canary = fleet.fleet.AddBackend("new-1", "s1", "v2");
   canary.FailOn("/rare/");
   CHECK(fleet.RequestUntilDecided() == "rolled_back");
   CHECK(fleet.fleet.GetRollout("s1").reason == "its answers are worse");
-  // Retries at the old version keep the failures from the clients.
+  // Retries at the baseline version hide the failures from the clients.
   CHECK(fleet.failed == 0);
   CheckExposure(fleet, canary);
-  CheckWithdrawn(fleet, canary);
+  CheckRolledBack(fleet, canary);
 }
 
-TEST_CASE("a verdict outlives the loss of all control machines") {
+TEST_CASE("a verdict survives a crash of all control nodes") {
   RolloutFleet fleet;
   fleet.rare_at_one_router = true;
   REQUIRE(fleet.fleet.CallControl("POST", "/v1/rollouts", kRolloutOrder) ==
           200);
   StandInBackend& canary = fleet.fleet.AddBackend("new-1", "s1", "v2");
   canary.FailOn("/rare/");
-  // One router alone sees failures: it does not decide, and what nobody could
-  // judge in time is undone as well.
+  // Only one router observes failures, which does not decide the rollout. A
+  // rollout that the leader cannot evaluate in time is rolled back as well.
   CHECK(fleet.RequestUntilDecided() == "rolled_back");
   CheckExposure(fleet, canary);
-  // Before the routers have heard of it, most often.
-  fleet.fleet.KillControls();
+  // Usually the routers have not received the rollback yet.
+  fleet.fleet.RestartControls();
   CHECK(fleet.fleet.CallControl("GET", "/v1/rollouts/s1") == 200);
   CHECK(fleet.fleet.GetRollout("s1").state == "rolled_back");
   for (int i = 0; i < 100; ++i) {
     fleet.Request();
   }
-  CheckWithdrawn(fleet, canary);
+  CheckRolledBack(fleet, canary);
   CHECK(fleet.failed == 0);
   CheckExposure(fleet, canary);
 }
 
-TEST_CASE("an order with a fault is refused") {
+TEST_CASE("an invalid order is refused") {
   RolloutFleet fleet;
   for (const std::string order :
        {R"({"service": "s9", "target_version": "v2", "duration_s": 20})",
--- a/test/integration/forwarding/route_fleet.cc
+++ b/test/integration/forwarding/route_fleet.cc
@@ -22,13 +22,13 @@
 using nlohmann::json;
 
 constexpr Duration kLimit = seconds(60);
-// A back end runs a request that ends it for this long.
-constexpr Duration kTimeToEnd = milliseconds(10);
+// How long a backend runs a fatal request before it crashes.
+constexpr Duration kCrashDelay = milliseconds(10);
 const tcp::endpoint kLoopback(asio::ip::address_v4::loopback(), 0);
 
 }  // namespace
 
-// --- Back ends ---------------------------------------------------------------
+// --- Backends ----------------------------------------------------------------
 
 StandInBackend::StandInBackend(asio::io_context& context, std::string id,
                                std::string service, std::string version)
@@ -36,7 +36,7 @@
       id_(std::move(id)),
       service_(std::move(service)),
       version_(std::move(version)),
-      end_timer_(context),
+      crash_timer_(context),
       server_(context, {.endpoint = kLoopback, .connection_listener = {}},
               [this](const net::HttpRequest& request, const auto& responder) {
                 Handle(request, responder);
@@ -49,15 +49,15 @@
 void StandInBackend::SetAnswering(Answering answering) {
   asio::post(context_, [this, answering] {
     answering_ = answering;
-    if (answering == Answering::kWell) {
-      for (const auto& [request, responder] : std::exchange(held_, {})) {
+    if (answering == Answering::kSucceeds) {
+      for (const auto& [request, responder] : std::exchange(withheld_, {})) {
         Answer(request, *responder);
       }
     }
   });
 }
 
-void StandInBackend::EndOn(const std::string& target_prefix) {
+void StandInBackend::CrashOn(const std::string& target_prefix) {
   const std::lock_guard lock(mutex_);
   fatal_prefix_ = target_prefix;
 }
@@ -77,9 +77,9 @@
   return !failing_prefix_.empty() && target.starts_with(failing_prefix_);
 }
 
-void StandInBackend::End() {
-  if (!ended_) {
-    ended_ = true;
+void StandInBackend::Crash() {
+  if (!crashed_) {
+    crashed_ = true;
     server_.Close();
   }
 }
@@ -108,17 +108,17 @@
     latest_fields_ = request.fields;
   }
   if (IsFatal(request.target)) {
-    held_.emplace_back(request, responder);
-    end_timer_.expires_after(kTimeToEnd);
-    end_timer_.async_wait([this](const asio::error_code& error) {
+    withheld_.emplace_back(request, responder);
+    crash_timer_.expires_after(kCrashDelay);
+    crash_timer_.async_wait([this](const asio::error_code& error) {
       if (!error) {
-        End();
+        Crash();
       }
     });
     return;
   }
-  if (answering_ == Answering::kHolds) {
-    held_.emplace_back(request, responder);
+  if (answering_ == Answering::kWithholds) {
+    withheld_.emplace_back(request, responder);
     return;
   }
   Answer(request, *responder);
@@ -129,7 +129,7 @@
   net::HttpResponse response;
   const std::string id = request.Header("x-request-id").value_or("");
   const bool foreign = answering_ == Answering::kForeignId;
-  if (answering_ != Answering::kUnnamed) {
+  if (answering_ != Answering::kWithoutId) {
     response.headers = {{"X-Request-Id", foreign ? "another" : id}};
   }
   if (answering_ == Answering::kSheds) {
@@ -151,24 +151,24 @@
 
 // --- Fleet -------------------------------------------------------------------
 
-RouteFleet::RouteFleet(int machines, int routers)
+RouteFleet::RouteFleet(int control_nodes, int routers)
     : work_(context_.get_executor()),
-      list_(R"({"backends": [], "next_page": null})"),
+      discovery_list_(R"({"backends": [], "next_page": null})"),
       network_(lab::OwnLoopbackNetwork()) {
-  list_server_ = std::make_unique<net::HttpServer>(
+  discovery_server_ = std::make_unique<net::HttpServer>(
       context_,
       net::HttpServerOptions{.endpoint = kLoopback, .connection_listener = {}},
       [this](const net::HttpRequest&, const auto& responder) {
         net::HttpResponse response;
         const std::lock_guard lock(mutex_);
-        response.body = list_;
+        response.body = discovery_list_;
         responder->Send(std::move(response));
       });
   thread_ = std::thread([this] { context_.run(); });
   http_port_ = lab::FreePort(network_ + ".1");
   peer_port_ = lab::FreePort(network_ + ".1");
-  controls_.resize(machines);
-  for (int number = 0; number < machines; ++number) {
+  controls_.resize(control_nodes);
+  for (int number = 0; number < control_nodes; ++number) {
     StartControl(number, /*bootstrap=*/true);
   }
   for (int number = 0; number < routers; ++number) {
@@ -206,7 +206,7 @@
   for (int number = 0; number < routers(); ++number) {
     files.push_back(RouterLog(number));
   }
-  for (int number = 0; number < machines(); ++number) {
+  for (int number = 0; number < control_nodes(); ++number) {
     files.push_back(LogOf(number));
   }
   return files;
@@ -214,7 +214,7 @@
 
 std::string RouteFleet::Seeds() const {
   std::string seeds;
-  for (int number = 0; number < machines(); ++number) {
+  for (int number = 0; number < control_nodes(); ++number) {
     seeds += fmt::format("{}\"{}:{}\"", number == 0 ? "" : ", ",
                          AddressOf(number), http_port_);
   }
@@ -234,7 +234,7 @@
       "discovery_interval_ms = 50\nquota_overage = 0.1\nquota_slack = 10\n",
       number, FolderOf(number).string(), Seeds(), peer_port_, address, address,
       http_port_, address, peer_port_, bootstrap,
-      net::FormatEndpoint(list_server_->local_endpoint()));
+      net::FormatEndpoint(discovery_server_->local_endpoint()));
   auto process = lab::ChildProcess::Start(
       std::string(JUNIPERWAY_BINARY_FOLDER) + "/juniperwayd",
       {"--settings", file.string()}, LogOf(number));
@@ -267,7 +267,7 @@
 std::unique_ptr<StandInBackend> RouteFleet::MakeBackend(
     const std::string& id, const std::string& service,
     const std::string& version) {
-  // Made on the thread that its listener runs on.
+  // The backend is constructed on the thread that runs its listener.
   std::promise<std::unique_ptr<StandInBackend>> made;
   asio::post(context_, [&] {
     made.set_value(
@@ -280,22 +280,22 @@
                                        const std::string& service,
                                        const std::string& version) {
   backends_.push_back(MakeBackend(id, service, version));
-  PublishList();
+  PublishDiscoveryList();
   return *backends_.back();
 }
 
-void RouteFleet::RestartEnded() {
+void RouteFleet::RestartCrashed() {
   for (auto& backend : backends_) {
-    if (backend->ended()) {
+    if (backend->crashed()) {
       auto next = MakeBackend(backend->id() + "'", backend->service(),
                               backend->version());
-      ended_.push_back(std::exchange(backend, std::move(next)));
+      replaced_backends_.push_back(std::exchange(backend, std::move(next)));
     }
   }
-  PublishList();
+  PublishDiscoveryList();
 }
 
-void RouteFleet::PublishList() {
+void RouteFleet::PublishDiscoveryList() {
   json list = {{"backends", json::array()}, {"next_page", nullptr}};
   for (const auto& backend : backends_) {
     list["backends"].push_back(
@@ -309,14 +309,14 @@
          {"state", backend->draining ? "leaving" : "live"}});
   }
   const std::lock_guard lock(mutex_);
-  list_ = list.dump();
+  discovery_list_ = list.dump();
 }
 
 int RouteFleet::PutTable(const std::string& table) {
   int status = 0;
-  int machine = 0;
+  int control_node = 0;
   lab::WaitFor(kLimit, [&] {
-    const std::string address = AddressOf(machine++ % machines());
+    const std::string address = AddressOf(control_node++ % control_nodes());
     status = http_
                  .Post(fmt::format("http://{}:{}/v1/route-table", address,
                                    http_port_),
@@ -330,12 +330,13 @@
 int RouteFleet::CallControl(const std::string& method, const std::string& path,
                             const std::string& body) {
   int status = 0;
-  int machine = 0;
+  int control_node = 0;
   lab::WaitFor(kLimit, [&] {
     net::HttpClientRequest request;
     request.method = method;
-    request.url = fmt::format(
-        "http://{}:{}{}", AddressOf(machine++ % machines()), http_port_, path);
+    request.url = fmt::format("http://{}:{}{}",
+                              AddressOf(control_node++ % control_nodes()),
+                              http_port_, path);
     request.body = body;
     request.timeout = seconds(5);
     status = http_.Call(std::move(request)).status;
@@ -346,11 +347,11 @@
 
 std::string RouteFleet::GetTable() {
   std::string body;
-  int machine = 0;
+  int control_node = 0;
   lab::WaitFor(kLimit, [&] {
-    const auto response =
-        http_.Get(fmt::format("http://{}:{}/v1/route-table",
-                              AddressOf(machine++ % machines()), http_port_));
+    const auto response = http_.Get(
+        fmt::format("http://{}:{}/v1/route-table",
+                    AddressOf(control_node++ % control_nodes()), http_port_));
     body = response.body;
     return response.status == 200;
   });
@@ -408,11 +409,11 @@
   StartControl(number, /*bootstrap=*/false);
 }
 
-void RouteFleet::KillControls() {
+void RouteFleet::RestartControls() {
   for (auto& control : controls_) {
     control->Kill();
   }
-  for (int number = 0; number < machines(); ++number) {
+  for (int number = 0; number < control_nodes(); ++number) {
     StartControl(number, /*bootstrap=*/false);
   }
 }
@@ -420,7 +421,7 @@
 int RouteFleet::LeaderNumber() {
   int leader = -1;
   lab::WaitFor(kLimit, [&] {
-    for (int number = 0; number < machines() && leader < 0; ++number) {
+    for (int number = 0; number < control_nodes() && leader < 0; ++number) {
       const auto response = http_.Get(
           fmt::format("http://{}:{}/v1/status", AddressOf(number), http_port_));
       const json node = json::parse(response.body, nullptr, false);
@@ -440,11 +441,11 @@
 }
 
 RolloutStatus RouteFleet::GetRollout(const std::string& service) {
-  // Any machine may be the one that was killed.
-  for (int machine = 0; machine < machines(); ++machine) {
+  // A test may have killed some of the control nodes.
+  for (int control_node = 0; control_node < control_nodes(); ++control_node) {
     const auto response =
-        http_.Get(fmt::format("http://{}:{}/v1/rollouts/{}", AddressOf(machine),
-                              http_port_, service));
+        http_.Get(fmt::format("http://{}:{}/v1/rollouts/{}",
+                              AddressOf(control_node), http_port_, service));
     const json rollout = json::parse(response.body, nullptr, false);
     if (rollout.is_object() && rollout.contains("state")) {
       return {.state = rollout["state"],
@@ -500,7 +501,8 @@
       continue;
     }
     if (id != 0 || !member["voter"].get<bool>()) {
-      return 0;  // Two stand for it, or the new one does not vote yet.
+      // Two members have the address, or the new member is no voter yet.
+      return 0;
     }
     id = member["id"].get<std::uint64_t>();
   }
@@ -512,7 +514,7 @@
     const json status = Status();
     const std::uint64_t id = VoterAt(wiped_, status);
     return id != 0 && id != wiped_id_ && status.value("repaired", false) &&
-           status.value("voters", 0) == machines();
+           status.value("voters", 0) == control_nodes();
   });
 }
 
--- a/test/integration/forwarding/route_fleet.h
+++ b/test/integration/forwarding/route_fleet.h
@@ -1,6 +1,6 @@
-// Real juniperwayd processes that forward HTTP requests: control machines that
-// form their group from seeds, routers, and in this process the stand-ins of
-// what lies around them: back ends and the discovery list.
+// A fleet of real juniperwayd processes that forward HTTP requests: control
+// nodes, which form their group from seeds, and routers. The test process
+// itself runs the backends and the discovery list.
 #pragma once
 
 #include <asio/executor_work_guard.hpp>
@@ -23,25 +23,26 @@
 
 namespace juniperway::test {
 
-// How a back end answers.
+// How a StandInBackend answers requests.
 enum class Answering {
-  kWell,
-  kSheds,      // 503, says that it did not run the request
+  kSucceeds,   // 200, signed
+  kSheds,      // 503, with the header X-Not-Run
   kFails,      // 500, signed
-  kForeignId,  // as for another request
-  kUnnamed,    // well, but without the request's id
-  kHolds,      // not until it answers well again
+  kForeignId,  // 200, with the id of another request
+  kWithoutId,  // 200, without a request id
+  kWithholds,  // no answer until the mode changes to kSucceeds
 };
 
-// What the resource API tells of a roll-out.
+// A rollout, as the resource API reports it.
 struct RolloutStatus {
-  // Empty while no leader answers.
+  // Empty while no control node returns the rollout.
   std::string state;
   std::string reason;
   bool in_force = false;
   std::uint32_t share_permille = 0;
 };
 
+// A backend that runs in the test process. RouteFleet owns it.
 class StandInBackend {
  public:
   StandInBackend(asio::io_context& context, std::string id, std::string service,
@@ -52,16 +53,18 @@
   const std::string& version() const { return version_; }
   std::string address() const;
   void SetAnswering(Answering answering);
-  // From now on it ends while it runs a request whose target begins so: its
-  // connections are lost and nothing listens at its address any more.
-  void EndOn(const std::string& target_prefix);
-  bool ended() const { return ended_; }
-  // From now on it fails requests whose target begins so.
+  // From now on the backend crashes while it runs a request whose target has
+  // this prefix: its connections are lost, and no process listens at its
+  // address.
+  void CrashOn(const std::string& target_prefix);
+  bool crashed() const { return crashed_; }
+  // From now on the backend fails requests whose target has this prefix.
   void FailOn(const std::string& target_prefix);
+  // The discovery list shows the backend as draining; see PublishDiscoveryList.
   bool draining = false;
-  // Requests that it ran or was asked to run, by target.
+  // Targets of the requests that arrived for this backend, in order.
   std::vector<std::string> Targets() const;
-  // The header fields of the latest of them, as they came.
+  // The header fields of the latest of these requests, as received.
   std::vector<std::pair<std::string, std::string>> LatestFields() const;
 
  private:
@@ -70,95 +73,105 @@
   void Answer(const net::HttpRequest& request, net::HttpResponder& responder);
   bool IsFatal(const std::string& target) const;
   bool IsFailing(const std::string& target) const;
-  void End();
+  void Crash();
 
   asio::io_context& context_;
   std::string id_;
   std::string service_;
   std::string version_;
-  // The handler runs on the stand-ins' thread, the test on its own.
+  // Guards what the fleet's thread, which runs the handler, shares with the
+  // test's thread.
   mutable std::mutex mutex_;
-  Answering answering_ = Answering::kWell;
+  Answering answering_ = Answering::kSucceeds;
   std::vector<std::string> targets_;
   std::vector<std::pair<std::string, std::string>> latest_fields_;
   std::vector<std::pair<net::HttpRequest, std::shared_ptr<net::HttpResponder>>>
-      held_;
-  // Empty: nothing ends it.
+      withheld_;
+  // Targets that crash the backend; empty for none.
   std::string fatal_prefix_;
-  // Empty: it fails as `answering_` says.
+  // Targets that fail whatever `answering_` is; empty for none.
   std::string failing_prefix_;
-  std::atomic<bool> ended_ = false;
-  asio::steady_timer end_timer_;
+  std::atomic<bool> crashed_ = false;
+  asio::steady_timer crash_timer_;
   net::HttpServer server_;
 };
 
+// The processes, backends and discovery list of one test, which owns the fleet.
 class RouteFleet {
  public:
-  // @param machines of the control group.
-  explicit RouteFleet(int machines, int routers = 1);
+  // Starts the processes and waits until they are ready.
+  // @param control_nodes number of control nodes.
+  explicit RouteFleet(int control_nodes, int routers = 1);
   ~RouteFleet();
 
+  // Starts a backend and publishes it in the discovery list.
   StandInBackend& AddBackend(const std::string& id, const std::string& service,
                              const std::string& version = "v1");
-  // Called after a back end's `draining` was changed.
-  void PublishList();
-  // Starts each back end that has ended again, under a new id.
-  void RestartEnded();
+  // Updates the discovery list; must be called after a change of
+  // StandInBackend::draining.
+  void PublishDiscoveryList();
+  // Replaces each crashed backend by a running one with a new id.
+  void RestartCrashed();
   const std::vector<std::unique_ptr<StandInBackend>>& backends() const {
     return backends_;
   }
 
-  // Writes a table until it is acknowledged. @return the status of a refusal.
+  // Sends a table to the control nodes in turn until one accepts or refuses it.
+  // @return the status, 200 or 400 unless the time is over.
   int PutTable(const std::string& table);
   std::string GetTable();
-  // Sends an order to one control machine after the other until it is answered
-  // with 200 or 400. @return the status.
+  // Sends a request to the control nodes in turn until one answers 200 or 400.
+  // @return the status.
   int CallControl(const std::string& method, const std::string& path,
                   const std::string& body = "");
-  // The service's roll-out, as the leader tells it.
+  // The service's rollout, from the first control node that returns it.
   RolloutStatus GetRollout(const std::string& service);
-  // Waits until its last change is in force at every router with a lease.
+  // Waits until the rollout's latest change is in force at every router with a
+  // lease.
   bool AwaitRolloutInForce(const std::string& service);
-  // Waits until the router answers this target with this status.
+  // Waits until the first router answers this target with this status.
   bool AwaitStatus(const std::string& target, int status);
 
-  // @param router number of the one that is asked.
+  // Sends a request to a router and waits for the answer.
+  // @param router number of the router, from 0.
   net::HttpClientResponse Request(const std::string& target,
                                   const std::string& id = "request-1",
                                   int router = 0);
-  // With these header fields besides.
+  // Like Request, with additional header fields.
   net::HttpClientResponse RequestWith(
       const std::vector<std::pair<std::string, std::string>>& fields,
       const std::string& target, int router = 0);
-  // The same, by a client of its own at another address of this machine.
+  // Like Request, by another client at another loopback address.
   net::HttpClientResponse RequestFrom(const std::string& client_address,
                                       const std::string& target,
                                       const std::string& id, int router);
 
-  // Kills a control machine, empties its disk and starts it again.
+  // Kills a control node, deletes its data folder and starts it again.
   void WipeControl(int number);
-  // Kills every control machine and starts them again with their disks.
-  void KillControls();
-  // The machine that leads; waits until one does.
+  // Kills every control node and starts them again with their data folders.
+  void RestartControls();
+  // Waits for a leader.
+  // @return the number of its control node.
   int LeaderNumber();
-  // Waits until the machine that was wiped votes under another number, its old
-  // one is gone, and one more machine may be lost. In the first second after a
-  // loss the group still takes itself for whole: that alone is no sign.
+  // Waits until the wiped control node is a voter under a new id, the old id is
+  // no member, and the group reports itself as repaired. That report alone is
+  // not enough: it is still positive in the first second after a loss.
   bool AwaitRepaired();
 
-  // A metric without labels.
+  // @return the value of a router's metric without labels; 0 when it is
+  //   missing.
   double RouterMetric(int router, const std::string& name);
 
-  // Waits until every router refuses some request under which back ends ended.
+  // Waits until the quarantine of some request is in force at every router.
   bool AwaitQuarantine();
 
-  // Logs of the routers and of every control machine.
+  // Paths of the logs of all routers and control nodes.
   std::vector<std::string> LogFiles() const;
 
   lab::ChildProcess& router() { return routers_.front().process; }
   int routers() const { return static_cast<int>(routers_.size()); }
   lab::ChildProcess& control(int number) { return *controls_.at(number); }
-  int machines() const { return static_cast<int>(controls_.size()); }
+  int control_nodes() const { return static_cast<int>(controls_.size()); }
 
  private:
   std::string AddressOf(int number) const;
@@ -166,11 +179,13 @@
   std::string LogOf(int number) const;
   std::string RouterLog(int number) const;
   std::string Seeds() const;
-  // What a control machine answers; no object while no leader does.
+  // Gets JSON from the first control node; no JSON object while no leader
+  // answers.
   nlohmann::json Read(const std::string& path);
-  // What the group says of itself; no object while no leader answers.
+  // The control group's status; no JSON object while no leader answers.
   nlohmann::json Status();
-  // The number of the voter at this machine's address; 0: none or not known.
+  // @return the id of the voter at this control node's address; 0 when there is
+  //   none or the status is missing.
   std::uint64_t VoterAt(int number, const nlohmann::json& status) const;
   void StartControl(int number, bool bootstrap);
   void StartRouter(int number);
@@ -184,17 +199,17 @@
   asio::io_context context_;
   asio::executor_work_guard<asio::io_context::executor_type> work_;
   mutable std::mutex mutex_;
-  std::string list_;
-  std::unique_ptr<net::HttpServer> list_server_;
+  std::string discovery_list_;
+  std::unique_ptr<net::HttpServer> discovery_server_;
   std::vector<std::unique_ptr<StandInBackend>> backends_;
-  // Those that others have replaced.
-  std::vector<std::unique_ptr<StandInBackend>> ended_;
+  // Crashed backends that have been replaced.
+  std::vector<std::unique_ptr<StandInBackend>> replaced_backends_;
   std::thread thread_;
   lab::BlockingHttp http_;
   std::string network_;
   std::uint16_t http_port_ = 0;
   std::uint16_t peer_port_ = 0;
-  // The machine that was wiped last, and its number before.
+  // The control node that was wiped last, and its member id before.
   int wiped_ = -1;
   std::uint64_t wiped_id_ = 0;
   std::vector<std::optional<lab::ChildProcess>> controls_;
--- a/test/integration/forwarding/router_test.cc
+++ b/test/integration/forwarding/router_test.cc
@@ -1,5 +1,6 @@
-// HTTP forwarding by real processes: routes, splits, scatters, drains, resent
-// and racing tables, planned stops, and a control machine that lost its disk.
+// Tests HTTP forwarding with real processes: routes, splits, scatters, drains,
+// resent and concurrent tables, graceful shutdowns, and control nodes that lost
+// their disk.
 #include <doctest/doctest.h>
 #include <fmt/format.h>
 
@@ -41,23 +42,23 @@
   return found == response.headers.end() ? "" : found->second;
 }
 
-// A back end that sent one answer late, in the place of the next one, gave a
-// client another request's records: answers that named no request were taken.
-// All other answers of these back ends did name theirs.
-TEST_CASE("an answer that names no request is none where others do") {
+// Guards against a client that gets the records of another request: a backend
+// may send a late answer in place of the next one. The router must not accept
+// an answer without a request id from a service whose other answers have one.
+TEST_CASE("an answer without a request id is discarded where others have one") {
   RouteFleet fleet(1);
   auto& one = fleet.AddBackend("b1", "s1");
   auto& two = fleet.AddBackend("b2", "s2");
-  one.SetAnswering(Answering::kUnnamed);
-  two.SetAnswering(Answering::kUnnamed);
+  one.SetAnswering(Answering::kWithoutId);
+  two.SetAnswering(Answering::kWithoutId);
   REQUIRE(fleet.PutTable(Table(5)) == 200);
-  // Back ends that never name a request are taken at their word.
+  // The router accepts such answers of services that never echo a request id.
   REQUIRE(fleet.AwaitStatus("/one/x", 200));
   REQUIRE(fleet.AwaitStatus("/all/x", 200));
 
-  one.SetAnswering(Answering::kWell);
+  one.SetAnswering(Answering::kSucceeds);
   CHECK(fleet.Request("/one/named").status == 200);
-  one.SetAnswering(Answering::kUnnamed);
+  one.SetAnswering(Answering::kWithoutId);
   CHECK(fleet.Request("/one/unnamed").status == 502);
   const auto scatter = fleet.Request("/all/unnamed", "id-8");
   CHECK(scatter.status == 200);
@@ -65,7 +66,7 @@
   CHECK(HeaderOf(scatter, "x-missing-shards") == "1");
 }
 
-TEST_CASE("requests go where the route table says") {
+TEST_CASE("requests are routed by the route table") {
   RouteFleet fleet(1);
   auto& one = fleet.AddBackend("b1", "s1");
   auto& two = fleet.AddBackend("b2", "s2");
@@ -88,7 +89,8 @@
   CHECK(shares["b1/id"] == 30);
   CHECK(shares["b2/id"] == 10);
 
-  // What ran is not run again; what was shed may be; another's answer is none.
+  // The router does not retry a request that may have run, may retry a shed
+  // one, and discards the answer to another request.
   two.SetAnswering(Answering::kFails);
   one.SetAnswering(Answering::kFails);
   CHECK(fleet.Request("/one/failing").status == 500);
@@ -100,16 +102,17 @@
   const auto shed = fleet.Request("/one/shed");
   CHECK(shed.status == 503);
   CHECK_FALSE(HeaderOf(shed, "retry-after").empty());
-  one.SetAnswering(Answering::kWell);
-  two.SetAnswering(Answering::kWell);
-  // The only back end pauses after the shed: the request waits for it.
+  one.SetAnswering(Answering::kSucceeds);
+  two.SetAnswering(Answering::kSucceeds);
+  // The only backend is in backoff after the shed request, and the request
+  // waits for it.
   CHECK(fleet.Request("/one/after-shed").status == 200);
 
-  // A back end that leaves gets nothing more.
+  // A draining backend gets no more requests.
   REQUIRE(fleet.AwaitStatus("/one/", 200));
-  auto& heir = fleet.AddBackend("b3", "s1");
+  auto& replacement = fleet.AddBackend("b3", "s1");
   one.draining = true;
-  fleet.PublishList();
+  fleet.PublishDiscoveryList();
   REQUIRE(lab::WaitFor(kLimit, [&] {
     return HeaderOf(fleet.Request("/one/", "id"), "x-signature") == "b3/id";
   }));
@@ -118,10 +121,10 @@
     CHECK(fleet.Request("/one/").status == 200);
   }
   CHECK(one.Targets().size() == before);
-  CHECK_FALSE(heir.Targets().empty());
+  CHECK_FALSE(replacement.Targets().empty());
 }
 
-TEST_CASE("while back ends shed, a part is refused at once and never sent") {
+TEST_CASE("while backends shed, a share is refused at once and never sent") {
   RouteFleet fleet(1);
   auto& backend = fleet.AddBackend("b1", "s1");
   fleet.AddBackend("b2", "s2");
@@ -140,19 +143,20 @@
   const double retry_after = std::stod(HeaderOf(refused, "retry-after"));
   CHECK(retry_after >= 0.5);
   CHECK(retry_after <= 1.5);
-  // Said not to have run, and it never does.
-  backend.SetAnswering(Answering::kWell);
+  // The router told the client that the request did not run, and never sends
+  // it.
+  backend.SetAnswering(Answering::kSucceeds);
   CHECK(fleet.AwaitStatus("/one/", 200));
   CHECK(std::ranges::count(backend.Targets(), target) == 0);
 }
 
-TEST_CASE("tables are resent, race and are refused without harm") {
+TEST_CASE("resent, concurrent, older and invalid tables change nothing") {
   RouteFleet fleet(1);
   fleet.AddBackend("b1", "s1");
   fleet.AddBackend("b2", "s2");
   REQUIRE(fleet.PutTable(Table(5)) == 200);
   CHECK(fleet.PutTable(Table(5)) == 200);
-  CHECK(fleet.PutTable(Table(5, "s2")) == 200);  // the first of two holds
+  CHECK(fleet.PutTable(Table(5, "s2")) == 200);  // the first of two stays
   CHECK(fleet.PutTable(Table(4, "s2")) == 200);  // an older one changes nothing
   CHECK(fleet.PutTable(Table(9, "nowhere")) == 400);
   CHECK(fleet.PutTable(Table(9).substr(0, 200)) == 400);
@@ -165,34 +169,34 @@
   }));
 }
 
-TEST_CASE("a planned stop answers what is under way") {
+TEST_CASE("a graceful shutdown answers the requests in flight") {
   RouteFleet fleet(1);
   auto& one = fleet.AddBackend("b1", "s1");
   fleet.AddBackend("b2", "s2");
   REQUIRE(fleet.PutTable(Table(1)) == 200);
   REQUIRE(fleet.AwaitStatus("/one/", 200));
-  one.SetAnswering(Answering::kHolds);
+  one.SetAnswering(Answering::kWithholds);
   auto answer = std::async(std::launch::async,
                            [&] { return fleet.Request("/one/held"); });
   REQUIRE(lab::WaitFor(kLimit, [&] {
     return std::ranges::count(one.Targets(), "/one/held") == 1;
   }));
   fleet.router().Signal(SIGTERM);
-  one.SetAnswering(Answering::kWell);
+  one.SetAnswering(Answering::kSucceeds);
   CHECK(answer.get().status == 200);
   CHECK(fleet.router().Wait(kLimit) == 0);
 }
 
-TEST_CASE("control machines outlive the loss of a disk, each in turn") {
+TEST_CASE("the control group survives the loss of each node's disk in turn") {
   RouteFleet fleet(3);
   fleet.AddBackend("b1", "s1");
   fleet.AddBackend("b2", "s2");
   int version = 1;
   REQUIRE(fleet.PutTable(Table(version)) == 200);
   REQUIRE(fleet.AwaitStatus("/one/", 200));
-  for (int machine = 0; machine < fleet.machines(); ++machine) {
-    CAPTURE(machine);
-    fleet.WipeControl(machine);
+  for (int node = 0; node < fleet.control_nodes(); ++node) {
+    CAPTURE(node);
+    fleet.WipeControl(node);
     REQUIRE(fleet.AwaitRepaired());
     CHECK(fleet.GetTable() == Table(version));
     REQUIRE(fleet.PutTable(Table(++version)) == 200);
@@ -201,12 +205,12 @@
   CHECK(fleet.Request("/one/").status == 200);
 }
 
-TEST_CASE("everything killed at once comes back with what was acknowledged") {
+TEST_CASE("acknowledged tables survive a crash of all control nodes") {
   RouteFleet fleet(3);
   fleet.AddBackend("b1", "s1");
   fleet.AddBackend("b2", "s2");
   REQUIRE(fleet.PutTable(Table(7)) == 200);
-  fleet.KillControls();
+  fleet.RestartControls();
   CHECK(fleet.GetTable() == Table(7));
   CHECK(fleet.AwaitStatus("/one/", 200));
 }
--- a/test/integration/forwarding/tenants_test.cc
+++ b/test/integration/forwarding/tenants_test.cc
@@ -1,5 +1,5 @@
-// Tenants by real processes: who gets in, what back ends are told, and a limit
-// that routers share, also while its leader is lost.
+// Tests tenants with real processes: which keys are accepted, which headers
+// backends get, and a limit that routers share, also during a leader change.
 #include <doctest/doctest.h>
 #include <fmt/format.h>
 
@@ -21,7 +21,7 @@
 
 constexpr Duration kLimit = seconds(60);
 
-// @param tenants JSON; empty: the table has none.
+// @param tenants JSON list; empty for a table without tenants.
 std::string Table(int version, const std::string& tenants) {
   const std::string list =
       tenants.empty() ? "" : R"("tenants": )" + tenants + ",";
@@ -40,7 +40,8 @@
   return {{"Authorization", "Bearer " + key}};
 }
 
-// What the back end got under this name, in any case.
+// @return the values of this header in the backend's latest request; the name
+// matches in upper or lower case.
 std::vector<std::string> ValuesOf(const StandInBackend& backend,
                                   const std::string& name) {
   std::vector<std::string> values;
@@ -64,7 +65,7 @@
   });
 }
 
-TEST_CASE("a request needs a key, and its back end learns the tenant") {
+TEST_CASE("a request needs a key, and its backend gets the tenant's name") {
   RouteFleet fleet(1);
   const auto& backend = fleet.AddBackend("b1", "s1");
   REQUIRE(fleet.PutTable(
@@ -83,7 +84,7 @@
     CHECK(backend.Targets().size() == before);
   }
 
-  // Whatever the client says of its tenant.
+  // The router ignores the tenant name that the client claims.
   Fields forged = Key("secret-3");
   forged.insert(
       forged.end(),
@@ -92,13 +93,13 @@
   CHECK(ValuesOf(backend, "x-tenant") == std::vector<std::string>{"t2"});
   CHECK(ValuesOf(backend, "authorization").empty());
 
-  // A route that is open to all belongs to nobody.
+  // Requests of an anonymous route have no tenant.
   CHECK(fleet.RequestWith(forged, "/open/x").status == 200);
   CHECK(ValuesOf(backend, "x-tenant").empty());
   CHECK(ValuesOf(backend, "authorization").empty());
   CHECK(fleet.RequestWith({}, "/open/x").status == 200);
 
-  // No key is written down anywhere.
+  // The logs contain no key.
   for (const std::string& log : fleet.LogFiles()) {
     CHECK(ReadFile(log).find("secret") == std::string::npos);
   }
@@ -117,7 +118,7 @@
   CHECK(ValuesOf(backend, "x-tenant") == std::vector<std::string>{"whoever"});
 }
 
-TEST_CASE("keys come and go with the table") {
+TEST_CASE("a new table adds and removes keys") {
   RouteFleet fleet(1);
   fleet.AddBackend("b1", "s1");
   REQUIRE(fleet.PutTable(
@@ -128,20 +129,21 @@
   REQUIRE(AwaitWith(fleet, Key("b"), 401));
   CHECK(fleet.RequestWith(Key("a"), "/one/x").status == 200);
   CHECK(fleet.RequestWith(Key("c"), "/one/x").status == 200);
-  // Tenants that cannot be told apart are no table.
+  // The control group refuses a table in which two tenants have the same key.
   CHECK(fleet.PutTable(Table(3, R"([{"name": "t1", "api_keys": ["a"]},
                                     {"name": "t2", "api_keys": ["a"]}])")) ==
         400);
   CHECK(fleet.RequestWith(Key("c"), "/one/x").status == 200);
 }
 
-// Requests of one tenant through two routers in turn.
+// Numbers of answers by status.
 struct Tally {
   int served = 0;
   int over_limit = 0;
   int other = 0;
 };
 
+// Sends requests of one tenant to two routers in turn.
 Tally Send(RouteFleet& fleet, const std::string& key, int requests) {
   Tally tally;
   for (int i = 0; i < requests; ++i) {
@@ -161,13 +163,14 @@
          "burst": 5},
         {"name": "free", "api_keys": ["b"]}])";
 
-TEST_CASE("routers share a tenant's limit, and others are not touched by it") {
+TEST_CASE(
+    "routers share a tenant's limit, which does not affect other tenants") {
   RouteFleet fleet(1, /*routers=*/2);
   fleet.AddBackend("b1", "s1");
   REQUIRE(fleet.PutTable(Table(1, kLimited)) == 200);
   REQUIRE(AwaitWith(fleet, Key("b"), 200, 0));
   REQUIRE(AwaitWith(fleet, Key("b"), 200, 1));
-  // Tokens come in at one in a quarter of an hour, so that none is there.
+  // The limit grants one token every 1000 s, so that none is available.
   const Tally none = Send(fleet, "a", 20);
   CHECK(none.served == 0);
   CHECK(none.over_limit == 20);
@@ -180,7 +183,7 @@
   REQUIRE(AwaitWith(fleet, Key("a"), 200, 1));
 }
 
-TEST_CASE("a tenant within its limit is served while its leader is lost") {
+TEST_CASE("a tenant within its limit is served during a leader change") {
   RouteFleet fleet(3, /*routers=*/2);
   fleet.AddBackend("b1", "s1");
   REQUIRE(fleet.PutTable(Table(1, R"([{"name": "t1", "api_keys": ["a"],
@@ -188,12 +191,13 @@
           200);
   REQUIRE(AwaitWith(fleet, Key("a"), 200, 0));
   REQUIRE(AwaitWith(fleet, Key("a"), 200, 1));
-  // More than one client sends. Until both routers hold leases.
+  // Waits until both routers hold leases large enough for several requests.
   REQUIRE(
       lab::WaitFor(kLimit, [&] { return Send(fleet, "a", 30).served == 30; }));
 
   fleet.control(fleet.LeaderNumber()).Kill();
-  // With what they hold, and with the next leader.
+  // The routers use the tokens that they hold, and then those of the next
+  // leader.
   REQUIRE(
       lab::WaitFor(kLimit, [&] { return Send(fleet, "a", 30).served == 30; }));
   CHECK(Send(fleet, "unknown", 4).other == 4);
--- a/test/support/request_run_world.h
+++ b/test/support/request_run_world.h
@@ -1,4 +1,5 @@
-// A request's run over shards of several back ends, driven by hand.
+// A RequestRun over shards with several backends, which a test drives step by
+// step. The test owns the World and its clock.
 #pragma once
 
 #include <doctest/doctest.h>
@@ -19,9 +20,12 @@
 
 inline std::string ShardName(int shard) { return "s" + std::to_string(shard); }
 
-// Four shards of three back ends; ids are "s0-0" to "s3-2".
+// Four shards with three backends each, whose ids are "s0-0" to "s3-2". Route
+// "r" is a scatter over all shards.
 struct World {
-  // @param slack of the budget for hedges and retries.
+  // @param slack, ratio the retry budget: it allows ratio x requests + slack
+  // extra
+  //   attempts.
   explicit World(double slack = 1000, double ratio = 0.2)
       : pool({.zone = "z",
               .regions = {},
@@ -53,11 +57,13 @@
     route.destination = scatter;
   }
 
+  // Replaces the scatter by a route to the service "s0".
   void MakeSingle(bool repeatable) {
     route.repeatable = repeatable;
     route.destination = routes::SplitTarget{{{"s0", 1}}};
   }
 
+  // Starts a run and takes its first actions.
   // @param suspected see RequestRun.
   RequestRun& Start(bool suspected = false) {
     run = std::make_unique<RequestRun>(route, "s0", now + seconds(10),
@@ -67,6 +73,7 @@
     return *run;
   }
 
+  // Records the run's pending actions in `sent` and `under_way`.
   void Take() {
     for (const RunAction& action : run->TakeActions()) {
       if (const auto* send = std::get_if<SendAction>(&action)) {
@@ -78,7 +85,7 @@
     }
   }
 
-  // The oldest attempt under way at a shard, 0 when there is none.
+  // @return the oldest attempt in flight at a shard; 0 when there is none.
   AttemptId AttemptAt(const std::string& shard) const {
     for (const auto& [id, send] : under_way) {
       if (send.backend.starts_with(shard + "-")) {
@@ -88,6 +95,7 @@
     return 0;
   }
 
+  // Ends an attempt with this result.
   void End(AttemptId attempt, AttemptResult result,
            const std::string& record = "") {
     AttemptEnd end;
@@ -100,7 +108,7 @@
     Take();
   }
 
-  // Ends an attempt as that of a back end which ended while it ran it.
+  // Ends an attempt as if its backend had crashed while it ran the request.
   void Lose(AttemptId attempt) {
     AttemptEnd end;
     end.result = AttemptResult::kBroken;
@@ -110,6 +118,7 @@
     Take();
   }
 
+  // Ends the shard's oldest attempt in flight with a successful answer.
   void Answer(const std::string& shard) {
     const AttemptId attempt = AttemptAt(shard);
     REQUIRE(attempt != 0);
@@ -117,7 +126,7 @@
         std::string(16, static_cast<char>('a' + shard.back() - '0')));
   }
 
-  // Lets time pass to the run's next deadline.
+  // Advances the clock to the run's next deadline and calls OnTime.
   void Wait() {
     now = std::max(now, run->NextDeadline());
     run->OnTime(now);
@@ -129,7 +138,9 @@
   RouteLatency latency;
   routes::Route route;
   std::unique_ptr<RequestRun> run;
+  // Attempts in flight.
   std::map<AttemptId, SendAction> under_way;
+  // All attempts, in the order of sending.
   std::vector<SendAction> sent;
   MonotonicTime now{seconds(100)};
 };
--- a/test/unit/forwarding/admission_queue_test.cc
+++ b/test/unit/forwarding/admission_queue_test.cc
@@ -1,4 +1,4 @@
-// The order in which waiting requests are admitted.
+// Tests the order in which the queue admits waiting requests.
 #include "common/forwarding/admission_queue.h"
 
 #include <doctest/doctest.h>
@@ -10,7 +10,7 @@
 
 constexpr MonotonicTime kNow{seconds(100)};
 
-// @param target_in when an answer becomes late, from kNow on.
+// @param target_in time from kNow until an answer is late.
 AdmissionQueue::Entry Waiting(std::uint64_t number, const std::string& route,
                               Duration target_in, std::uint32_t priority = 1) {
   return {.number = number,
@@ -28,7 +28,7 @@
   return order;
 }
 
-TEST_CASE("what can still be in time goes first, then the oldest") {
+TEST_CASE("requests that can be in time go first, then the oldest") {
   AdmissionQueue queue;
   queue.Insert(Waiting(1, "r", -milliseconds(500)));
   queue.Insert(Waiting(2, "r", milliseconds(80)));
@@ -37,7 +37,7 @@
   CHECK(Drain(queue) == std::vector<std::uint64_t>{4, 2, 3, 1});
 }
 
-TEST_CASE("requests with one target keep the order of their arrival") {
+TEST_CASE("requests with the same target keep the order of arrival") {
   AdmissionQueue queue;
   queue.Insert(Waiting(8, "r", milliseconds(80)));
   queue.Insert(Waiting(7, "r", milliseconds(80)));
@@ -52,7 +52,7 @@
   CHECK(Drain(queue) == std::vector<std::uint64_t>{2, 1, 3});
 }
 
-TEST_CASE("a blocked route does not hold up the others") {
+TEST_CASE("a blocked route does not delay other routes") {
   AdmissionQueue queue;
   queue.Insert(Waiting(1, "a", milliseconds(20), /*priority=*/1));
   queue.Insert(Waiting(2, "b", milliseconds(20), /*priority=*/2));
@@ -60,7 +60,7 @@
   CHECK_FALSE(queue.Next(kNow, {"a", "b"}));
 }
 
-TEST_CASE("a request that left does not come up again") {
+TEST_CASE("a removed request is not admitted") {
   AdmissionQueue queue;
   queue.Insert(Waiting(1, "r", milliseconds(20)));
   CHECK(queue.size() == 1);
--- a/test/unit/forwarding/crashing_run_test.cc
+++ b/test/unit/forwarding/crashing_run_test.cc
@@ -1,5 +1,5 @@
-// A run whose request may end the back ends that run it: how many of them it
-// risks, and that an unlucky request loses nothing but a little time.
+// Tests runs whose request may crash backends: how many backends a run risks,
+// and that a request which lost backends by coincidence is only delayed.
 #include <doctest/doctest.h>
 
 #include <set>
@@ -13,7 +13,7 @@
 using test::ShardName;
 using test::World;
 
-TEST_CASE("a scatter that ends its back ends risks one replica more") {
+TEST_CASE("a scatter that crashes backends risks one more replica") {
   World world;
   RequestRun& run = world.Start();
   while (!run.outcome()) {
@@ -22,24 +22,25 @@
   }
   CHECK(world.sent.size() == kShards + 1);
   CHECK(run.outcome()->result == RunResult::kFailed);
-  // The fleet knows by then.
+  // The control group has attributed the crash by then.
   CHECK(run.outcome()->retry_after == seconds(1));
   CHECK(run.crash_evidence().lost.size() == kShards + 1);
   CHECK_FALSE(run.crash_evidence().survived);
 }
 
-TEST_CASE("no hedge goes out while the request is suspected") {
+TEST_CASE("a suspected request is not hedged") {
   World world;
   RequestRun& run = world.Start();
   for (int shard = 0; shard < 3; ++shard) {
     world.Lose(world.AttemptAt(ShardName(shard)));
   }
-  // Until shortly before the target.
+  // Time passes until shortly before the target.
   for (int times = 0; times < 4; ++times) {
     world.Wait();
   }
   CHECK(world.sent.size() == kShards);
-  // It was chance: a back end answers, and all the others are asked again.
+  // The losses were a coincidence: a backend answers, and the run sends
+  // attempts for the other shards again.
   world.Answer(ShardName(3));
   CHECK(world.sent.size() == kShards + 3);
   for (int shard = 0; shard < 3; ++shard) {
@@ -51,31 +52,31 @@
   CHECK(run.crash_evidence().survived);
 }
 
-TEST_CASE("a back end that fails the request has not shown that it survives") {
+TEST_CASE("an error answer does not show that the backend survives") {
   World world;
   RequestRun& run = world.Start();
   for (int shard = 0; shard < 3; ++shard) {
     world.Lose(world.AttemptAt(ShardName(shard)));
   }
   world.End(world.AttemptAt(ShardName(3)), AttemptResult::kFailed);
-  // Only the one attempt that goes ahead.
+  // The run sends only the trial attempt.
   CHECK(world.sent.size() == kShards + 1);
   CHECK_FALSE(run.crash_evidence().survived);
 }
 
-TEST_CASE("one lost back end is replaced as soon as another one answers") {
+TEST_CASE("a lost backend is replaced as soon as another one answers") {
   World world;
   world.Start();
   world.Lose(world.AttemptAt(ShardName(0)));
   CHECK(world.AttemptAt(ShardName(0)) == 0);
   world.Answer(ShardName(1));
   CHECK(world.AttemptAt(ShardName(0)) != 0);
-  // Later losses are replaced at once.
+  // Since a backend has survived, the run replaces later losses at once.
   world.Lose(world.AttemptAt(ShardName(2)));
   CHECK(world.AttemptAt(ShardName(2)) != 0);
 }
 
-TEST_CASE("a request to one service is repeated after a lost back end") {
+TEST_CASE("a request to one service is retried after a lost backend") {
   World world;
   world.MakeSingle(/*repeatable=*/true);
   RequestRun& run = world.Start();
@@ -85,26 +86,26 @@
   CHECK(run.outcome()->result == RunResult::kSuccess);
 }
 
-TEST_CASE("of a request that was suspected before one attempt goes ahead") {
+TEST_CASE("a request that was suspected before sends one trial attempt") {
   World world;
   RequestRun& run = world.Start(/*suspected=*/true);
   CHECK(world.sent.size() == 1);
-  SUBCASE("its back end ends: nothing else is sent") {
+  SUBCASE("its backend crashes: the run sends nothing else") {
     world.Lose(world.under_way.begin()->first);
     CHECK(world.sent.size() == 1);
     REQUIRE(run.outcome());
     CHECK(run.outcome()->result == RunResult::kFailed);
   }
-  SUBCASE("its back end survives: the others follow") {
+  SUBCASE("its backend survives: the run sends the others") {
     world.End(world.under_way.begin()->first, AttemptResult::kAnswered);
     CHECK(world.sent.size() == kShards);
   }
-  SUBCASE("its back end did not run it: another one is asked") {
+  SUBCASE("its backend did not run it: the run sends another trial") {
     world.End(world.under_way.begin()->first, AttemptResult::kShed);
     CHECK(world.sent.size() == 2);
     CHECK(world.under_way.size() == 1);
   }
-  SUBCASE("its back end is silent: it is not hedged") {
+  SUBCASE("its backend is unresponsive: the run does not hedge") {
     for (int times = 0; times < 20; ++times) {
       world.Wait();
     }
@@ -112,7 +113,7 @@
   }
 }
 
-TEST_CASE("evidence names the process that was lost, not only its id") {
+TEST_CASE("evidence names the lost incarnation, not only the id") {
   World world;
   world.MakeSingle(/*repeatable=*/true);
   for (int replica = 0; replica < test::kReplicas; ++replica) {
--- a/test/unit/forwarding/fingerprint_request_test.cc
+++ b/test/unit/forwarding/fingerprint_request_test.cc
@@ -1,4 +1,4 @@
-// Which requests count as the same one sent again.
+// Tests which requests have the same fingerprint.
 #include "common/forwarding/fingerprint_request.h"
 
 #include <doctest/doctest.h>
@@ -18,7 +18,7 @@
   return request;
 }
 
-TEST_CASE("another try has the same fingerprint") {
+TEST_CASE("a request that is sent again has the same fingerprint") {
   net::HttpRequest again = Request();
   again.headers["x-request-id"] = "id-2";
   again.headers["x-deadline-ms"] = "70";
@@ -27,14 +27,14 @@
   CHECK(FingerprintOf(again) == FingerprintOf(Request()));
 }
 
-TEST_CASE("another request has another one") {
+TEST_CASE("a different request has a different fingerprint") {
   const std::vector<std::function<void(net::HttpRequest&)>> changes = {
       [](auto& request) { request.method = "POST"; },
       [](auto& request) { request.target = "/a/c"; },
       [](auto& request) { request.headers["host"] = "i.example"; },
       [](auto& request) { request.body = "d"; },
       [](auto& request) { request.headers["authorization"] = "Basic eA=="; },
-      // The same bytes, cut elsewhere.
+      // The same bytes, divided differently between target and body.
       [](auto& request) {
         request.target = "/a/bc";
         request.body = "";
--- a/test/unit/forwarding/message_codec_test.cc
+++ b/test/unit/forwarding/message_codec_test.cc
@@ -1,4 +1,5 @@
-// What of a request goes to a back end, and what an answer means.
+// Tests the requests to backends, the results of their answers, and the
+// client's answers.
 #include "common/forwarding/message_codec.h"
 
 #include <doctest/doctest.h>
@@ -54,7 +55,7 @@
   return response;
 }
 
-TEST_CASE("the transfer's own timer lies behind the run's deadline") {
+TEST_CASE("the HTTP client's timeout is later than the run's deadline") {
   const MonotonicTime now(seconds(100));
   const SendAction action{1, "i-7", "10.0.0.1:80", now + milliseconds(1500)};
   const auto sent = MakeBackendRequest(MakeForwardedRequest(Request(), kNames),
@@ -63,7 +64,7 @@
   CHECK(sent.timeout > milliseconds(1500));
 }
 
-TEST_CASE("a request goes on unchanged but for what concerns the connection") {
+TEST_CASE("a request is forwarded unchanged except for connection headers") {
   const MonotonicTime now(seconds(100));
   const SendAction action{1, "i-7", "10.0.0.1:80", now + milliseconds(1500)};
   const auto sent = MakeBackendRequest(MakeForwardedRequest(Request(), kNames),
@@ -86,7 +87,7 @@
   CHECK(sent.only_given_headers);
 }
 
-TEST_CASE("what an answer means") {
+TEST_CASE("an answer maps to the result of the attempt") {
   const auto result = [](net::HttpClientResponse response) {
     return ReadBackendResponse(std::move(response), kNames,
                                AnswerUse::kPassedOn)
@@ -115,7 +116,7 @@
   CHECK(result(broken) == AttemptResult::kReset);
 }
 
-TEST_CASE("a back end's answer keeps its headers, without the connection's") {
+TEST_CASE("a backend's answer keeps its headers except for the connection's") {
   const AttemptEnd end =
       ReadBackendResponse(Answer(200), kNames, AnswerUse::kPassedOn);
   CHECK(end.answer.signature == "sig");
@@ -123,7 +124,7 @@
   REQUIRE(end.answer.headers.size() == 1);
   CHECK(end.answer.headers[0].first == "X-Signature");
 
-  // Of a part that is merged only the signature and the body count.
+  // The router uses only the signature and the body of a merged part.
   const AttemptEnd part =
       ReadBackendResponse(Answer(200), kNames, AnswerUse::kMerged);
   CHECK(part.result == AttemptResult::kAnswered);
@@ -132,7 +133,7 @@
   CHECK(part.answer.headers.empty());
 }
 
-TEST_CASE("what the client gets") {
+TEST_CASE("a run's outcome maps to the client's answer") {
   RunOutcome outcome;
   outcome.result = RunResult::kSuccess;
   outcome.signatures = {"a", "b"};
@@ -154,7 +155,7 @@
   CHECK(MakeClientResponse(outcome, kNames).status == 504);
 }
 
-TEST_CASE("deadlines and paths are read") {
+TEST_CASE("deadlines and paths are parsed") {
   CHECK(ParseDeadline("1500") == Duration(milliseconds(1500)));
   CHECK_FALSE(ParseDeadline(""));
   CHECK_FALSE(ParseDeadline("-1"));
--- a/test/unit/forwarding/request_run_test.cc
+++ b/test/unit/forwarding/request_run_test.cc
@@ -1,5 +1,5 @@
-// One request's decisions: attempts, hedges, retries, and what the client is
-// told.
+// Tests the decisions of one request's run: attempts, hedges, retries and the
+// outcome.
 #include "common/forwarding/request_run.h"
 
 #include <doctest/doctest.h>
@@ -15,7 +15,7 @@
 using test::ShardName;
 using test::World;
 
-TEST_CASE("a scatter asks every shard once and merges what comes") {
+TEST_CASE("a scatter sends one attempt to every shard and merges the answers") {
   World world;
   RequestRun& run = world.Start();
   CHECK(world.sent.size() == kShards);
@@ -31,7 +31,7 @@
         std::string(16, 'd') + std::string(16, 'c') + std::string(16, 'b'));
 }
 
-TEST_CASE("an answer leaves early enough for its parts to be merged") {
+TEST_CASE("an answer is sent early enough for its parts to be merged") {
   World world;
   world.route.maximum_attempts = 1;
   const MonotonicTime began = world.now;
@@ -39,7 +39,7 @@
   for (int shard = 1; shard < kShards; ++shard) {
     world.Answer(ShardName(shard));
   }
-  // No hedge is allowed: what is left to wait for is the answer's time.
+  // The route allows no hedge, so that the next deadline is the answer's.
   world.now = run.NextDeadline();
   run.OnTime(world.now);
   const RunOptions options;
@@ -49,10 +49,10 @@
 }
 
 TEST_CASE(
-    "a router that is late itself does not hedge, and does once it is not") {
+    "an overloaded router does not hedge, and does so once it has caught up") {
   World world;
   RequestRun& run = world.Start();
-  // The loop comes to the hedges late: answers may lie there unread.
+  // The event loop processes the hedges late: there may be unread answers.
   world.now = run.NextDeadline() + milliseconds(30);
   run.OnTime(world.now);
   CHECK(run.hedges() == 0);
@@ -65,8 +65,9 @@
   CHECK(run.hedges() == kShards);
 }
 
-// When the first hedge of a request of a 250 ms target goes out.
-// @param hedge_latency of earlier hedges; none: there were none.
+// @return the delay of the first hedge of a request with a 250 ms target.
+// @param hedge_latency latency of earlier hedges; std::nullopt when there were
+//   none.
 Duration FirstHedgeAfter(std::optional<Duration> hedge_latency) {
   World world;
   for (int i = 0; hedge_latency && i < 100; ++i) {
@@ -80,11 +81,12 @@
   return world.now - began;
 }
 
-TEST_CASE("a hedge goes out while it can still be answered within the target") {
+TEST_CASE("a hedge is sent while it can still be answered within the target") {
   constexpr Duration kEarliest = milliseconds(62);
   constexpr Duration kLatest = milliseconds(125);
   CHECK(FirstHedgeAfter(std::nullopt) / milliseconds(1) == 62);
-  // 250 ms less 18 for the client's way, less 130 or about that.
+  // 250 ms minus the answer margin of 18 ms and a hedge latency of about 130
+  // ms.
   const Duration between = FirstHedgeAfter(milliseconds(130));
   CHECK(between > milliseconds(95));
   CHECK(between < milliseconds(109));
@@ -92,7 +94,7 @@
   CHECK(FirstHedgeAfter(seconds(1)) >= kEarliest);
 }
 
-TEST_CASE("a shard that is slow is hedged at another back end") {
+TEST_CASE("a slow shard is hedged at another backend") {
   World world;
   RequestRun& run = world.Start();
   for (int shard = 1; shard < kShards; ++shard) {
@@ -108,7 +110,7 @@
   CHECK(world.under_way.empty());
 }
 
-TEST_CASE("no shard gets more attempts than the route allows") {
+TEST_CASE("no shard gets more attempts than the route's maximum") {
   World world;
   world.Start();
   for (int shard = 1; shard < kShards; ++shard) {
@@ -120,7 +122,7 @@
   CHECK(world.sent.size() == kShards + 1);
 }
 
-TEST_CASE("at the target a scatter that is complete enough is answered") {
+TEST_CASE("a scatter with the minimum coverage is answered at the target") {
   World world;
   RequestRun& run = world.Start();
   for (int shard = 1; shard < kShards; ++shard) {
@@ -136,7 +138,7 @@
   CHECK(world.under_way.empty());
 }
 
-TEST_CASE("below the minimum coverage nothing is called a success") {
+TEST_CASE("a scatter below the minimum coverage is no success") {
   World world;
   RequestRun& run = world.Start();
   world.Answer("s3");
@@ -147,11 +149,11 @@
   CHECK(run.outcome()->result == RunResult::kTimedOut);
 }
 
-TEST_CASE("a scatter that failed names the shards that were not in") {
+TEST_CASE("a scatter that failed names the missing shards") {
   World world;
   RequestRun& run = world.Start();
   world.Answer("s0");
-  // Each with its attempts used up.
+  // Both shards use up their attempts.
   for (const std::string shard : {"s1", "s2"}) {
     while (world.AttemptAt(shard) != 0 && !run.outcome()) {
       world.End(world.AttemptAt(shard), AttemptResult::kBroken);
@@ -168,7 +170,7 @@
   CHECK_FALSE(missing[2].failed);
 }
 
-TEST_CASE("where too few shards have back ends nothing is asked") {
+TEST_CASE("a scatter sends nothing when too few shards have backends") {
   World world;
   for (const char* id : {"s0-0", "s0-1", "s0-2", "s1-0", "s1-1", "s1-2"}) {
     world.view.discovered[id].draining = true;
@@ -180,7 +182,7 @@
   CHECK(run.outcome()->result == RunResult::kNotRun);
 }
 
-TEST_CASE("one shard without back ends is missing at once") {
+TEST_CASE("the run does not wait for a shard without backends") {
   World world;
   for (const char* id : {"s0-0", "s0-1", "s0-2"}) {
     world.view.discovered[id].draining = true;
@@ -194,7 +196,7 @@
   CHECK(run.outcome()->missing.size() == 1);
 }
 
-TEST_CASE("a repeatable request is sent again after it broke") {
+TEST_CASE("a repeatable request is retried after a broken attempt") {
   World world;
   world.MakeSingle(true);
   RequestRun& run = world.Start();
@@ -207,7 +209,7 @@
 }
 
 TEST_CASE(
-    "a request that is not repeatable is sent again only if it did not run") {
+    "a request that is not repeatable is retried only if it did not run") {
   World world;
   world.MakeSingle(false);
   SUBCASE("broken") {
@@ -234,7 +236,7 @@
   }
 }
 
-TEST_CASE("what replaces an attempt that never left needs no budget") {
+TEST_CASE("replacing an attempt that was never sent needs no budget") {
   World world(/*slack=*/0, /*ratio=*/0);
   world.MakeSingle(/*repeatable=*/true);
   RequestRun& run = world.Start();
@@ -242,14 +244,14 @@
   REQUIRE(world.sent.size() == 2);
   world.End(world.AttemptAt("s0"), AttemptResult::kUnsent);
   REQUIRE(world.sent.size() == 3);
-  // The third one arrived: one more would be beyond the first arrival.
+  // The third attempt arrived, so that a fourth one would need the budget.
   world.End(world.AttemptAt("s0"), AttemptResult::kBroken);
   CHECK(world.sent.size() == 3);
   REQUIRE(run.outcome());
   CHECK(run.outcome()->result == RunResult::kFailed);
 }
 
-TEST_CASE("what replaces an attempt that arrived needs budget") {
+TEST_CASE("replacing an attempt that arrived needs budget") {
   for (const auto result : {AttemptResult::kShed, AttemptResult::kMisplaced,
                             AttemptResult::kBroken, AttemptResult::kFailed}) {
     World world(/*slack=*/0, /*ratio=*/0);
@@ -260,8 +262,9 @@
   }
 }
 
-TEST_CASE("an attempt that never left beside a hedge that may have needs it") {
-  // Enough for the hedge.
+TEST_CASE(
+    "replacing an unsent attempt needs budget while a hedge is in flight") {
+  // The budget suffices for one hedge.
   World world(/*slack=*/1.5, /*ratio=*/0);
   world.MakeSingle(/*repeatable=*/true);
   world.Start();
@@ -272,18 +275,18 @@
   CHECK(world.sent.size() == 2);
 }
 
-TEST_CASE("not run is only said where nothing ran") {
+TEST_CASE("the outcome is kNotRun only when nothing ran") {
   World world;
   world.MakeSingle(true);
   RequestRun& run = world.Start();
-  SUBCASE("every back end shed it") {
+  SUBCASE("every backend shed the request") {
     while (!world.under_way.empty()) {
       world.End(world.AttemptAt("s0"), AttemptResult::kShed);
     }
     REQUIRE(run.outcome());
     CHECK(run.outcome()->result == RunResult::kNotRun);
   }
-  SUBCASE("one may have run it") {
+  SUBCASE("one backend may have run it") {
     world.End(world.AttemptAt("s0"), AttemptResult::kBroken);
     while (!world.under_way.empty()) {
       world.End(world.AttemptAt("s0"), AttemptResult::kShed);
@@ -293,7 +296,7 @@
   }
 }
 
-TEST_CASE("a back end's own failure is passed on") {
+TEST_CASE("a backend's own error answer is passed on") {
   World world;
   world.MakeSingle(false);
   RequestRun& run = world.Start();
@@ -303,7 +306,7 @@
   CHECK(run.outcome()->answer.status == 500);
 }
 
-TEST_CASE("a client that left has everything cancelled") {
+TEST_CASE("a client's disconnect cancels all attempts in flight") {
   World world;
   RequestRun& run = world.Start();
   CHECK(world.under_way.size() == kShards);
@@ -313,7 +316,7 @@
   CHECK_FALSE(run.outcome());
 }
 
-TEST_CASE("the route's timeout ends a request before the client leaves") {
+TEST_CASE("the route's timeout ends a request before the client's deadline") {
   World world;
   world.MakeSingle(true);
   world.route.timeout = milliseconds(500);
@@ -326,7 +329,7 @@
   CHECK(world.now == began + milliseconds(500));
 }
 
-// Takes every connection of the services' back ends, as other requests would.
+// Occupies every connection of the services' backends, as other requests would.
 class Occupied {
  public:
   Occupied(World& world, std::vector<std::string> services)
@@ -352,7 +355,7 @@
   }
 
  private:
-  // Beyond those of the runs.
+  // Larger than the attempt ids of the runs.
   static constexpr AttemptId kFirstAttempt = 1'000'000'000;
 
   World& world_;
@@ -360,7 +363,7 @@
   std::vector<std::pair<std::string, AttemptId>> attempts_;
 };
 
-TEST_CASE("a scatter waits while too many of its back ends are busy") {
+TEST_CASE("a scatter waits while too many of its backends are busy") {
   World world;
   Occupied occupied(world, {"s0", "s1"});
   RequestRun& run = world.Start();
@@ -375,7 +378,7 @@
     CHECK_FALSE(run.waiting());
     CHECK(world.sent.size() == kShards);
   }
-  SUBCASE("and is refused in time for its client to try elsewhere") {
+  SUBCASE("and is refused early enough for its client to send it elsewhere") {
     const MonotonicTime began = world.now;
     world.Wait();
     REQUIRE(run.outcome());
@@ -383,14 +386,14 @@
     CHECK(world.now < began + world.route.timeout);
     CHECK(world.sent.empty());
   }
-  SUBCASE("and is refused when it must not wait") {
+  SUBCASE("and is refused when it may not wait") {
     run.StopWaiting(world.now);
     REQUIRE(run.outcome());
     CHECK(run.outcome()->result == RunResult::kNotRun);
   }
 }
 
-TEST_CASE("a shard whose back ends are busy is asked when one is free") {
+TEST_CASE("a shard whose backends are busy gets its attempt when one is free") {
   World world;
   Occupied occupied(world, {"s0"});
   RequestRun& run = world.Start();
@@ -419,7 +422,7 @@
   }
 }
 
-TEST_CASE("a request that was tried before is late earlier") {
+TEST_CASE("a request that was sent before becomes late earlier") {
   World world;
   world.run =
       std::make_unique<RequestRun>(world.route, "s0", world.now + seconds(3),
@@ -427,7 +430,7 @@
   world.run->Start(world.now, seconds(1));
   CHECK(world.run->target_by() == world.now + world.route.target - seconds(1));
   world.Take();
-  // It is not answered with parts at once all the same.
+  // The run still waits for the last shard instead of answering at once.
   for (int shard = 1; shard < kShards; ++shard) {
     world.Answer(ShardName(shard));
   }
@@ -435,7 +438,7 @@
   CHECK(world.run->NextDeadline() > world.now);
 }
 
-TEST_CASE("what replaces a refused connection needs no budget, a reset does") {
+TEST_CASE("replacing a refused connection needs no budget, a reset does") {
   for (const auto result : {AttemptResult::kRefused, AttemptResult::kReset}) {
     World world(/*slack=*/0, /*ratio=*/0);
     world.MakeSingle(/*repeatable=*/true);
@@ -455,7 +458,7 @@
   CHECK(run.outcome()->result == RunResult::kFailed);
 }
 
-TEST_CASE("a request is overloaded where it was shed and not served in time") {
+TEST_CASE("a run that was shed and not answered in time is overloaded") {
   const auto served_after = [](Duration elapsed, AttemptResult first) {
     World world;
     world.MakeSingle(/*repeatable=*/true);
@@ -469,7 +472,7 @@
   };
   CHECK_FALSE(served_after(milliseconds(10), AttemptResult::kShed));
   CHECK(served_after(milliseconds(300), AttemptResult::kShed));
-  // Late for another reason: fewer requests would not help.
+  // The run is late for another reason, which fewer requests would not change.
   CHECK_FALSE(served_after(milliseconds(300), AttemptResult::kBroken));
 }
 
--- a/test/unit/forwarding/router_metrics_test.cc
+++ b/test/unit/forwarding/router_metrics_test.cc
@@ -1,4 +1,4 @@
-// What a router's metrics show of a request's end.
+// Tests how a router's metrics count requests that end.
 #include "common/forwarding/router_metrics.h"
 
 #include <doctest/doctest.h>
@@ -22,7 +22,7 @@
   return {route, "s", MonotonicTime(seconds(10)), RunOptions(), pool, latency};
 }
 
-TEST_CASE("a request counts once, by how it ended") {
+TEST_CASE("a request counts once, by its result") {
   prometheus::Registry registry;
   RouterMetrics metrics(registry);
   routes::Route route;
@@ -47,7 +47,7 @@
   CHECK(Has(text, "juniperway_router_request_seconds_count 1"));
 }
 
-TEST_CASE("a success that lacks a shard is partial") {
+TEST_CASE("a success with a missing shard is partial") {
   RunOutcome outcome;
   outcome.result = RunResult::kSuccess;
   CHECK(EndOf(outcome) == RequestEnd::kWhole);
--- a/test/unit/forwarding/top_records_test.cc
+++ b/test/unit/forwarding/top_records_test.cc
@@ -1,4 +1,4 @@
-// Merging the shards' records.
+// Tests how the shards' records are merged.
 #include "common/forwarding/top_records.h"
 
 #include <doctest/doctest.h>
@@ -17,7 +17,7 @@
         Record('\xff') + Record('z') + Record('z') + Record('m'));
 }
 
-TEST_CASE("a rest is no record, and fewer records than asked are all there") {
+TEST_CASE("an incomplete record is ignored, and all records are kept if few") {
   const std::string part = Record('a') + "rest";
   CHECK(MergeTopRecords({part, "", "short"}, 5) == Record('a'));
 }
