--- a/source/common/observation/backend_observation.cc
+++ b/source/common/observation/backend_observation.cc
@@ -9,8 +9,8 @@
 namespace {
 
 std::uint8_t AddSaturated(std::uint8_t left, std::uint8_t right) {
-  constexpr int kMost = std::numeric_limits<std::uint8_t>::max();
-  return static_cast<std::uint8_t>(std::min(kMost, left + right));
+  constexpr int kMaximum = std::numeric_limits<std::uint8_t>::max();
+  return static_cast<std::uint8_t>(std::min(kMaximum, left + right));
 }
 
 }  // namespace
--- a/source/common/observation/backend_observation.h
+++ b/source/common/observation/backend_observation.h
@@ -1,11 +1,12 @@
-// What routers tell each other of single back ends, through the control
-// machines: how many routers had attempts fail there of late, and how many had
-// answers. Soft state outside consensus: an observation that is lost, late or
-// old costs an attempt, never an answer.
+// What routers report to each other about single backends, by way of the
+// control nodes: how many routers had attempts fail there, and how many got
+// answers. Plain values without I/O. Observations are soft state outside
+// consensus: a lost, late or outdated one may cost an extra attempt, but never
+// an answer.
 //
-// A router of a large fleet asks one back end too rarely to know it: at 985
-// routers, 42 replicas a shard and a scatter in 17 s a router, once in 12
-// minutes.
+// A router of a large fleet sends too few requests to each backend to know its
+// state by itself: with 985 routers, 42 replicas per shard and a scatter query
+// every 17 s per router, one request in 12 minutes.
 #pragma once
 
 #include <cstddef>
@@ -15,19 +16,22 @@
 
 namespace juniperway::observation {
 
-// Names one run of a back end's process in 4 bytes. Among 27,000 back ends 0.08
-// pairs share a name on average; what is told of one then counts for both.
+// Identifies one run of a backend's process in 4 bytes. Among 27,000 backends
+// 0.08 pairs have equal hashes on average; observations of one then count for
+// both.
 using BackendHash = std::uint32_t;
 
+// Returns the hash of a backend's process.
 // @param incarnation see session::IncarnationName.
 BackendHash HashOf(const std::string& incarnation);
 
-// Since the last observation from the same sender; counts end at 255.
+// Counts since the previous observation from the same sender. Counts saturate
+// at 255.
 struct BackendObservation {
   BackendHash backend = 0;
-  // Routers that had an attempt fail there.
+  // Number of routers that had an attempt fail there.
   std::uint8_t failed = 0;
-  // Routers that had an answer from there.
+  // Number of routers that got an answer from there.
   std::uint8_t answered = 0;
 
   bool operator==(const BackendObservation&) const = default;
@@ -35,10 +39,10 @@
 
 using BackendObservations = std::vector<BackendObservation>;
 
-// Of one message: 1.2 KB.
+// Maximum number of observations in one message, which is then 1.2 KB long.
 inline constexpr std::size_t kMostEntries = 200;
 
-// Adds what `more` counts of the same back end.
+// Adds the counts of `more`, an observation of the same backend.
 void Merge(BackendObservation& into, const BackendObservation& more);
 
 }  // namespace juniperway::observation
--- a/source/common/observation/observation_log.cc
+++ b/source/common/observation/observation_log.cc
@@ -6,42 +6,44 @@
 namespace juniperway::observation {
 namespace {
 
-bool IsRecent(MonotonicTime told, MonotonicTime now) {
-  return told != MonotonicTime::min() && now - told < kMemory;
+bool IsRecent(MonotonicTime reported_at, MonotonicTime now) {
+  return reported_at != MonotonicTime::min() && now - reported_at < kMemory;
 }
 
 }  // namespace
 
 void ObservationLog::OnFailed(BackendHash backend, MonotonicTime now) {
-  Told& told = told_[backend];
-  if (!IsRecent(told.failed, now)) {
-    told.failed = now;
-    news_.push_back({.backend = backend, .failed = 1});
+  ReportTimes& times = report_times_[backend];
+  if (!IsRecent(times.failed, now)) {
+    times.failed = now;
+    pending_.push_back({.backend = backend, .failed = 1});
   }
 }
 
 void ObservationLog::OnAnswered(BackendHash backend, MonotonicTime now) {
-  Told& told = told_[backend];
-  if (!IsRecent(told.answered, now)) {
-    told.answered = now;
-    news_.push_back({.backend = backend, .answered = 1});
+  ReportTimes& times = report_times_[backend];
+  if (!IsRecent(times.answered, now)) {
+    times.answered = now;
+    pending_.push_back({.backend = backend, .answered = 1});
   }
 }
 
-BackendObservations ObservationLog::Take(std::size_t most, MonotonicTime now) {
-  ForgetOld(now);
-  const auto count = static_cast<std::ptrdiff_t>(std::min(most, news_.size()));
-  BackendObservations taken(news_.begin(), news_.begin() + count);
-  news_.erase(news_.begin(), news_.begin() + count);
+BackendObservations ObservationLog::Take(std::size_t maximum,
+                                         MonotonicTime now) {
+  RemoveExpired(now);
+  const auto count =
+      static_cast<std::ptrdiff_t>(std::min(maximum, pending_.size()));
+  BackendObservations taken(pending_.begin(), pending_.begin() + count);
+  pending_.erase(pending_.begin(), pending_.begin() + count);
   return taken;
 }
 
-void ObservationLog::ForgetOld(MonotonicTime now) {
-  if (now < next_forget_) {
+void ObservationLog::RemoveExpired(MonotonicTime now) {
+  if (now < next_removal_) {
     return;
   }
-  next_forget_ = now + kMemory;
-  std::erase_if(told_, [now](const auto& entry) {
+  next_removal_ = now + kMemory;
+  std::erase_if(report_times_, [now](const auto& entry) {
     return !IsRecent(entry.second.failed, now) &&
            !IsRecent(entry.second.answered, now);
   });
--- a/source/common/observation/observation_log.h
+++ b/source/common/observation/observation_log.h
@@ -1,8 +1,10 @@
-// What one router has to tell of back ends. Pure: time is an argument.
+// Collects what one router reports about backends. The router's BackendPool
+// owns it. Does no I/O: time is an argument.
 //
-// A router counts as one witness of each kind for a back end within kMemory,
-// however often it asks there: what is told grows with the back ends that fail,
-// not with requests, and one router with a broken link cannot outvote others.
+// Within kMemory a router reports a backend at most once as failed and once as
+// answered, however many attempts it sends there. So reports grow with the
+// number of failing backends and not with the request rate, and one router with
+// a broken link cannot outvote the others.
 #pragma once
 
 #include <cstddef>
@@ -13,34 +15,35 @@
 
 namespace juniperway::observation {
 
-// For so long an observation says something of a back end. The same as a
-// router's own failures count (forwarding::FailureRate). Chosen, not measured
-// alone.
+// How long an observation of a backend counts, and the decay time of shared
+// failures (SharedFailures). Equals the time for which a router counts its own
+// failures (forwarding::FailureRate).
 inline constexpr Duration kMemory = seconds(8);
 
 class ObservationLog {
  public:
   void OnFailed(BackendHash backend, MonotonicTime now);
-  // Only of back ends that others had failures at: what goes well everywhere is
-  // not told.
+  // Records an answer. Callers pass only backends that other routers had
+  // failures at, so that healthy backends cause no reports.
   void OnAnswered(BackendHash backend, MonotonicTime now);
 
-  bool has_news() const { return !news_.empty(); }
-  // What is new, the `most` first ones; the rest comes with the next call.
-  BackendObservations Take(std::size_t most, MonotonicTime now);
+  bool has_news() const { return !pending_.empty(); }
+  // Returns up to `maximum` pending observations, oldest first; later calls
+  // return the rest.
+  BackendObservations Take(std::size_t maximum, MonotonicTime now);
 
  private:
-  // When this router was a witness last; min(): never.
-  struct Told {
+  // When this router last reported the backend; min(): never.
+  struct ReportTimes {
     MonotonicTime failed = MonotonicTime::min();
     MonotonicTime answered = MonotonicTime::min();
   };
 
-  void ForgetOld(MonotonicTime now);
+  void RemoveExpired(MonotonicTime now);
 
-  std::unordered_map<BackendHash, Told> told_;
-  MonotonicTime next_forget_ = MonotonicTime::min();
-  BackendObservations news_;
+  std::unordered_map<BackendHash, ReportTimes> report_times_;
+  MonotonicTime next_removal_ = MonotonicTime::min();
+  BackendObservations pending_;
 };
 
 }  // namespace juniperway::observation
--- a/source/common/observation/observation_relay.cc
+++ b/source/common/observation/observation_relay.cc
@@ -5,21 +5,21 @@
 namespace juniperway::observation {
 
 void ObservationQueue::Add(const BackendObservation& observation) {
-  const auto [waiting, is_new] =
-      waiting_.try_emplace(observation.backend, observation);
+  const auto [queued, is_new] =
+      queued_.try_emplace(observation.backend, observation);
   if (is_new) {
     order_.push_back(observation.backend);
   } else {
-    Merge(waiting->second, observation);
+    Merge(queued->second, observation);
   }
 }
 
-BackendObservations ObservationQueue::Take(std::size_t most) {
+BackendObservations ObservationQueue::Take(std::size_t maximum) {
   BackendObservations taken;
-  taken.reserve(std::min(most, order_.size()));
-  while (!order_.empty() && taken.size() < most) {
-    taken.push_back(waiting_.at(order_.front()));
-    waiting_.erase(order_.front());
+  taken.reserve(std::min(maximum, order_.size()));
+  while (!order_.empty() && taken.size() < maximum) {
+    taken.push_back(queued_.at(order_.front()));
+    queued_.erase(order_.front());
     order_.pop_front();
   }
   return taken;
@@ -27,7 +27,7 @@
 
 void ObservationRelay::OnReport(const BackendObservations& observations) {
   for (const BackendObservation& observation : observations) {
-    for_machines_.Add(observation);
+    for_control_nodes_.Add(observation);
     for_daemons_.Add(observation);
   }
 }
--- a/source/common/observation/observation_relay.h
+++ b/source/common/observation/observation_relay.h
@@ -1,13 +1,15 @@
-// How one control machine passes observations of back ends on: what its daemons
-// tell goes to the other control machines and to its daemons, what other
-// machines tell goes to its daemons only. Pure.
+// Forwards observations of backends on one control node. The control node sends
+// what its daemons report to the other control nodes and to its daemons; what
+// other control nodes send goes to its daemons only. The control node's
+// ObservationExchange owns it. Does no I/O.
 //
-// Bytes. What is new of one back end within kRelayInterval is one entry of some
-// 6 bytes, however many routers tell it. A digest has at most kMostEntries: to
-// a daemon at most 12 KB/s, whatever the fleet's size. Between machines it goes
-// once to each of the others, so that bytes between regions grow with control
-// machines and back ends that fail, not with routers. What does not fit waits
-// for the next digest, oldest first.
+// Traffic: all observations of one backend within kRelayInterval become one
+// entry of some 6 bytes, however many routers report it. A digest has at most
+// kMostEntries entries, so a daemon receives at most 12 KB/s whatever the size
+// of the fleet. Each control node sends a digest once to each of the others, so
+// that traffic between regions grows with the number of control nodes and
+// failing backends, not with routers. Observations beyond the maximum wait for
+// the next digest, oldest first.
 #pragma once
 
 #include <cstddef>
@@ -19,42 +21,42 @@
 
 namespace juniperway::observation {
 
-// Between two digests. With the router's own delay and the ways between, all
-// routers know of a failure within 0.35 s.
+// Interval between two digests. Together with the router's own delay and the
+// network delays, all routers know of a failure within 0.35 s.
 inline constexpr Duration kRelayInterval = milliseconds(100);
 
-// Observations that wait to be sent, one of each back end, oldest first.
+// Observations that wait to be sent, merged into one per backend, oldest first.
 class ObservationQueue {
  public:
   void Add(const BackendObservation& observation);
-  BackendObservations Take(std::size_t most);
+  BackendObservations Take(std::size_t maximum);
   bool empty() const { return order_.empty(); }
   std::size_t size() const { return order_.size(); }
 
  private:
   std::deque<BackendHash> order_;
-  std::unordered_map<BackendHash, BackendObservation> waiting_;
+  std::unordered_map<BackendHash, BackendObservation> queued_;
 };
 
 class ObservationRelay {
  public:
-  // From a daemon with a session here.
+  // Adds a report from a daemon whose session ends at this control node.
   void OnReport(const BackendObservations& observations);
-  // From another control machine.
+  // Adds a digest from another control node.
   void OnDigest(const BackendObservations& observations);
 
   bool has_news() const {
-    return !for_machines_.empty() || !for_daemons_.empty();
+    return !for_control_nodes_.empty() || !for_daemons_.empty();
   }
   BackendObservations TakeForMachines() {
-    return for_machines_.Take(kMostEntries);
+    return for_control_nodes_.Take(kMostEntries);
   }
   BackendObservations TakeForDaemons() {
     return for_daemons_.Take(kMostEntries);
   }
 
  private:
-  ObservationQueue for_machines_;
+  ObservationQueue for_control_nodes_;
   ObservationQueue for_daemons_;
 };
 
--- a/source/common/observation/shared_failures.cc
+++ b/source/common/observation/shared_failures.cc
@@ -8,33 +8,34 @@
 namespace juniperway::observation {
 namespace {
 
-// Faded below this, a witness says nothing any more: after 18 s.
-constexpr double kNegligible = 0.1;
+// A backend is removed once its decayed failure count is below this: one
+// failure report is removed after 18 s.
+constexpr double kNegligibleFailures = 0.1;
 
 }  // namespace
 
 SharedFailures::SharedFailures(std::uint64_t seed) {
   std::mt19937_64 random(seed);
-  std::uniform_real_distribution<double> draw(kLowestThreshold,
-                                              kHighestThreshold);
+  std::uniform_real_distribution<double> draw(kMinimumThreshold,
+                                              kMaximumThreshold);
   threshold_ = draw(random);
 }
 
-double SharedFailures::FadeTo(const Rate& rate, MonotonicTime now) {
-  return std::exp(-ToSeconds(now - rate.faded_at) / ToSeconds(kMemory));
+double SharedFailures::DecayFactor(const Rate& rate, MonotonicTime now) {
+  return std::exp(-ToSeconds(now - rate.decayed_at) / ToSeconds(kMemory));
 }
 
 void SharedFailures::Add(const BackendObservation& observation,
                          MonotonicTime now) {
-  ForgetOld(now);
+  RemoveExpired(now);
   if (observation.failed == 0 && !IsKnown(observation.backend)) {
     return;
   }
   Rate& rate = rates_[observation.backend];
-  const double left = FadeTo(rate, now);
-  rate.failed = rate.failed * left + observation.failed;
-  rate.answered = rate.answered * left + observation.answered;
-  rate.faded_at = now;
+  const double decay = DecayFactor(rate, now);
+  rate.failed = rate.failed * decay + observation.failed;
+  rate.answered = rate.answered * decay + observation.answered;
+  rate.decayed_at = now;
 }
 
 double SharedFailures::SuspicionOf(BackendHash backend,
@@ -44,19 +45,20 @@
     return 0;
   }
   const Rate& rate = found->second;
-  const double left = FadeTo(rate, now);
+  const double decay = DecayFactor(rate, now);
   const double share =
-      rate.failed * left / ((rate.failed + rate.answered) * left + 1);
+      rate.failed * decay / ((rate.failed + rate.answered) * decay + 1);
   return share < threshold_ ? 0 : share;
 }
 
-void SharedFailures::ForgetOld(MonotonicTime now) {
-  if (now < next_forget_) {
+void SharedFailures::RemoveExpired(MonotonicTime now) {
+  if (now < next_removal_) {
     return;
   }
-  next_forget_ = now + kMemory;
+  next_removal_ = now + kMemory;
   std::erase_if(rates_, [now](const auto& entry) {
-    return entry.second.failed * FadeTo(entry.second, now) < kNegligible;
+    return entry.second.failed * DecayFactor(entry.second, now) <
+           kNegligibleFailures;
   });
 }
 
--- a/source/common/observation/shared_failures.h
+++ b/source/common/observation/shared_failures.h
@@ -1,5 +1,6 @@
-// What other routers have seen of back ends, as one router has been told. Pure:
-// time is an argument. Only back ends that somebody had failures at are in it.
+// The failures of backends that other routers have observed, as one router
+// knows them. The router's BackendPool owns it. Does no I/O: time is an
+// argument. It holds only backends for which some router reported a failure.
 #pragma once
 
 #include <cstddef>
@@ -13,43 +14,44 @@
 
 class SharedFailures {
  public:
-  // A back end with a lower share of failures is as good as any. The threshold
-  // is drawn for each router: what a router told fades for all others at the
-  // same time, and with one threshold all of them ask its back end again at the
-  // same moment. With four fifths of all back ends shedding, 10 to 30 % of the
-  // requests failed two and four seconds after the others had found them (a
-  // fleet of 985 routers, simulated).
-  static constexpr double kLowestThreshold = 0.25;
-  static constexpr double kHighestThreshold = 0.45;
+  // Bounds of the suspicion below which a backend is treated like any other.
+  // Each router draws its own threshold between them. Observations decay on all
+  // routers at the same time, so with one common threshold all routers would
+  // send requests to a suspected backend again at the same moment. With four
+  // fifths of the backends shedding, 10 to 30 % of the requests then failed.
+  static constexpr double kMinimumThreshold = 0.25;
+  static constexpr double kMaximumThreshold = 0.45;
 
   explicit SharedFailures(std::uint64_t seed);
 
   void Add(const BackendObservation& observation, MonotonicTime now);
 
-  // Some router had failures there of late.
+  // Whether another router has reported failures of the backend that have not
+  // decayed yet.
   bool IsKnown(BackendHash backend) const {
     return !rates_.empty() && rates_.contains(backend);
   }
-  // @return the share of failures of a back end that is suspected; else 0. As
-  //   if one more router had had an answer: one witness makes it a half.
+  // Returns the suspicion, the share of failures of the backend, or 0 if it is
+  // below this router's threshold. One answer is added to the counts, so that a
+  // single failure report gives a suspicion of one half.
   double SuspicionOf(BackendHash backend, MonotonicTime now) const;
 
   std::size_t size() const { return rates_.size(); }
 
  private:
-  // Fades to 1 / e in kMemory.
+  // Counts that decay to 1 / e within kMemory.
   struct Rate {
     double failed = 0;
     double answered = 0;
-    MonotonicTime faded_at;
+    MonotonicTime decayed_at;
   };
 
-  static double FadeTo(const Rate& rate, MonotonicTime now);
-  void ForgetOld(MonotonicTime now);
+  static double DecayFactor(const Rate& rate, MonotonicTime now);
+  void RemoveExpired(MonotonicTime now);
 
   double threshold_;
   std::unordered_map<BackendHash, Rate> rates_;
-  MonotonicTime next_forget_ = MonotonicTime::min();
+  MonotonicTime next_removal_ = MonotonicTime::min();
 };
 
 }  // namespace juniperway::observation
--- a/source/common/rollout/answer_counts.h
+++ b/source/common/rollout/answer_counts.h
@@ -1,5 +1,6 @@
-// How the attempts at a group of back ends ended: how many failed, and how long
-// the others took. Pure types.
+// Counts of how attempts at a group of backends ended: failures, and a latency
+// histogram of the answers. Routers fill the counts (AnswerTally) and report
+// them to the leader (VersionComparison). Plain values without I/O.
 #pragma once
 
 #include <array>
@@ -12,30 +13,30 @@
 
 namespace juniperway::rollout {
 
-// Latencies are counted by steps of a half octave: from 0.5 ms, the fastest
-// that is told apart, to 23 s.
+// Number of latency steps. Two steps make an octave (a doubling); step 0 covers
+// latencies up to 0.5 ms, and the last step covers all latencies above 16.4 s.
 inline constexpr std::size_t kLatencySteps = 32;
 
-// The step that a latency falls into.
+// Returns the step that contains the latency.
 std::size_t LatencyStepOf(Duration latency);
 
 struct AnswerCounts {
   std::uint32_t failed = 0;
-  // Answered, but how long it took says nothing about the version: the back end
-  // was cold, or lies in another region.
+  // Answers whose latency does not depend on the version: the backend was cold,
+  // or lies in another region.
   std::uint32_t untimed = 0;
   std::array<std::uint32_t, kLatencySteps> timed{};
 
   std::uint32_t answered() const;
   std::uint32_t total() const { return failed + answered(); }
-  // That took this step or a higher one.
-  std::uint32_t SlowerFrom(std::size_t step) const;
+  // Number of timed answers in this step or a higher one.
+  std::uint32_t CountFromStep(std::size_t step) const;
 
   AnswerCounts& operator+=(const AnswerCounts& other);
   bool operator==(const AnswerCounts&) const = default;
 };
 
-// What is counted apart from each other.
+// The key under which answers are counted separately.
 struct AnswerGroup {
   std::string service;
   std::string route;
@@ -46,8 +47,8 @@
   auto operator<=>(const AnswerGroup&) const = default;
 };
 
-// What a router says of one group: all since its process knows of the roll-out,
-// so that a report that is lost is made good by the next one.
+// A router's counts of one group since its process learned of the rollout. The
+// counts are totals, so that the next report makes up for a lost one.
 struct AnswerReport {
   AnswerGroup group;
   RolloutNumber rollout = 0;
--- a/source/common/rollout/answer_tally.cc
+++ b/source/common/rollout/answer_tally.cc
@@ -40,7 +40,7 @@
 std::vector<AnswerReport> AnswerTally::MakeReport() {
   std::vector<AnswerGroup> due(changed_.begin(), changed_.end());
   std::ranges::stable_sort(due, std::greater(), &AnswerGroup::canary);
-  due.resize(std::min(due.size(), kMaximumReported));
+  due.resize(std::min(due.size(), kMaximumReportedGroups));
   std::vector<AnswerReport> report;
   report.reserve(due.size());
   for (const AnswerGroup& group : due) {
--- a/source/common/rollout/answer_tally.h
+++ b/source/common/rollout/answer_tally.h
@@ -1,5 +1,6 @@
-// A router's counts of how attempts ended, of the services that have a roll-out
-// under way, and what of them the leader has not been told. Pure.
+// Counts, on one router, how attempts of services with a running rollout ended,
+// and remembers which counts changed since the last report to the leader. The
+// router's BackendPool owns the only tally. Does no I/O.
 #pragma once
 
 #include <cstddef>
@@ -13,37 +14,39 @@
 
 namespace juniperway::rollout {
 
-// How one attempt ended, as far as it says something about its back end.
+// The outcome of one attempt.
 struct AttemptObservation {
   bool failed = false;
-  // How long it took says something about the version.
+  // False if the latency does not depend on the version
+  // (AnswerCounts::untimed).
   bool timed = true;
   Duration latency{};
 };
 
 class AnswerTally {
  public:
-  // Groups in one report. One takes about 120 bytes in a heartbeat, so that a
-  // report stays under 2 KB: a tenth of what control may cost a daemon in a
-  // second (21 KB/s).
-  static constexpr std::size_t kMaximumReported = 16;
+  // Maximum number of groups in one report. A group takes about 120 bytes in a
+  // heartbeat, so a report stays under 2 KB: a tenth of the 21 KB that control
+  // traffic may cost a daemon per second.
+  static constexpr std::size_t kMaximumReportedGroups = 16;
 
-  // Roll-outs that are under way, by service; counts of others are dropped.
+  // Sets the running rollouts, by service. Discards the counts of all other
+  // rollouts.
   void SetRollouts(const std::map<std::string, RolloutNumber>& rollouts);
   bool counts_anything() const { return !rollouts_.empty(); }
   bool IsCounted(const std::string& service) const {
     return rollouts_.contains(service);
   }
 
-  // Ignored unless the service has a roll-out under way.
+  // Does nothing unless the service has a running rollout.
   void Count(const AnswerGroup& group, const AttemptObservation& observation);
 
-  // Groups that changed since they were last reported; canaries first, and the
-  // rest with the next report.
+  // Returns the groups that changed since they were last reported, canaries
+  // first. Groups beyond the maximum come with the next report.
   std::vector<AnswerReport> MakeReport();
-  // A leader that heard nothing so far has to be told everything.
+  // Makes the next reports contain all groups again, for a new leader.
   void ReportAllAgain();
-  // Canaries have answered since the last report.
+  // Whether canaries have answered since the last report.
   bool has_news() const { return has_news_; }
 
  private:
--- a/source/common/rollout/canary_allowance.h
+++ b/source/common/rollout/canary_allowance.h
@@ -1,17 +1,19 @@
-// Which of its requests one router may send to the canaries of one service.
-// Pure: time and randomness are arguments.
+// Decides which of its requests one router may send to the canaries of one
+// service. The router's BackendPool owns one object per service. Does no I/O:
+// time and random numbers are arguments.
 //
-// Each request is drawn with the share that the order gives. Over all routers
-// that is share x all requests on average, with a standard deviation of at most
-// the square root of that, whatever machine is cut off, frozen or restarted:
-// nothing depends on how many routers share the requests. A router that counted
-// up to a whole request instead would send its first canary after 1 / share
-// requests; where a thousand routers see one in 17 s, none would be sent in a
-// roll-out of minutes.
+// The router draws each request independently with the canaries' share. Over
+// all routers, the canaries get share x all requests on average, with a
+// standard deviation of at most the square root of that number. This does not
+// depend on how many routers share the requests, nor on which daemons are
+// partitioned, paused or restarted. A router that counted requests would send
+// its first canary request only after 1 / share of them; in a fleet of a
+// thousand routers that each see one request in 17 s, a rollout of minutes
+// would send none.
 //
-// A share above the base share is leased: without a leader nobody judges the
-// answers, and canaries that turn out bad would get it until one is elected and
-// has been told of the answers again.
+// A router holds a share above the base share only under a lease. Without a
+// leader nobody evaluates the answers, so bad canaries would keep the larger
+// share until a new leader is elected and has received the reports again.
 #pragma once
 
 #include <algorithm>
@@ -22,12 +24,13 @@
 
 namespace juniperway::rollout {
 
-// How long a router may use a share above the base share, from when it sent the
-// heartbeat that the leader answered. Shorter than an election, which begins
-// one second after the leader is lost at the earliest.
+// How long a router may use a share above the base share, counted from when it
+// sent the heartbeat that the leader answered. Shorter than the time without a
+// leader: an election begins at the earliest one second after the leader is
+// lost.
 inline constexpr Duration kShareLease = milliseconds(800);
-// Between heartbeats of a router that uses such a share. Two of them may be
-// lost or late before the lease ends.
+// Interval between heartbeats of a router that uses such a share. A lease spans
+// two further heartbeats, so it survives the loss of one.
 inline constexpr Duration kShareRenewalInterval = milliseconds(300);
 
 class CanaryAllowance {
@@ -36,23 +39,25 @@
     share_ = permille;
     base_share_ = base_permille;
   }
-  // As the order gives it.
+  // The share that the rollout orders, in thousandths.
   std::uint32_t share() const { return share_; }
 
-  // The leader renewed the share.
+  // Extends the lease on the share; an earlier end has no effect.
   void Renew(MonotonicTime until) {
     renewed_until_ = std::max(renewed_until_, until);
   }
 
-  // The share is above the base share, and nothing renews it.
+  // Whether the ordered share is above the base share and no lease on it is in
+  // force.
   bool IsLapsed(MonotonicTime now) const { return ShareAt(now) < share_; }
 
-  // A request to the service is about to be sent for the first time.
-  // @param random evenly distributed.
+  // Draws whether a request goes to the canaries. The router calls it once per
+  // request, before the first attempt.
+  // @param random uniformly distributed.
   void OnRequest(std::uint64_t random, MonotonicTime now) {
     drawn_ = random % kWholePermille < ShareAt(now);
   }
-  // The request was drawn, and has not been sent yet.
+  // Whether the request was drawn and has not been sent to a canary yet.
   bool MaySend() const { return drawn_; }
   void OnSent() { drawn_ = false; }
 
--- a/source/common/rollout/rollout.h
+++ b/source/common/rollout/rollout.h
@@ -1,7 +1,8 @@
-// A roll-out: the order to move a service from the versions of its back ends
-// that run now to another one, and how far that has come. Pure types.
+// The replicated state of a rollout: the gradual change of a service from the
+// versions that its backends run to a target version. Plain values without I/O.
 //
-// Back ends of the target version are canaries until the roll-out is decided.
+// Backends of the target version are canaries until the rollout is complete or
+// rolled back.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +14,7 @@
 
 namespace juniperway::rollout {
 
-// Names one order; it grows with each order of the fleet.
+// Identifies one rollout. Numbers grow with each rollout of the fleet.
 using RolloutNumber = std::uint64_t;
 
 enum class RolloutState : std::uint8_t {
@@ -24,40 +25,43 @@
   kRolledBack = 2,
 };
 
-// How much of the service's requests canaries get while the roll-out runs.
+// How large a share of the service's requests the canaries get while the
+// rollout is running.
 enum class RolloutPhase : std::uint8_t {
-  // A share that cannot do much harm.
+  // A share so small that a bad version stays within the exposure limit.
   kObserving = 0,
-  // More, so that a fault under load shows.
+  // A larger share, which reveals faults that appear only under load.
   kWidening = 1,
-  // Nearly all first attempts; the other version gets what it takes to show how
-  // long it would take.
+  // Nearly all first attempts. The baseline version keeps enough requests to
+  // measure its latency for the comparison.
   kFull = 2,
-  // The replaced versions get nothing, but are there still; what they work on
-  // ends.
+  // The replaced versions get no new requests, but their backends still run and
+  // finish the requests in flight.
   kReplacing = 3,
 };
 
 inline constexpr std::uint32_t kWholePermille = 1000;
-// Share of canaries in the phase kFull. What the other version gets has to show
-// within half a second whether answers have become slower in general.
+// Share of the canaries in the phase kFull. The remaining 100 per mille must
+// show within half a second whether answers of the baseline version have become
+// slower too.
 inline constexpr std::uint32_t kFullPermille = 900;
 
-// What the fleet may send to canaries that turn out bad, summed over all
-// routers, from the order to the end of its duration.
+// Bounds how many requests the fleet may send to a bad version, summed over all
+// routers, from the order to the end of the rollout's duration: share x
+// requests + slack.
 struct ExposureLimit {
-  // Of all requests that reach the service.
+  // Share of all requests that reach the service.
   double share = 0.1;
-  // Requests besides.
+  // Number of requests in addition to the share.
   double slack = 10;
 };
 
-// As replicated.
+// One rollout as the control group replicates it.
 struct Rollout {
   RolloutNumber number = 0;
   std::string target_version;
-  // Versions of the service's back ends when it was ordered, without the
-  // target.
+  // Versions of the service's backends at the time of the order, except the
+  // target version.
   std::set<std::string> replaced_versions;
   // By the leader's clock.
   WallTime ordered_at{};
@@ -66,27 +70,28 @@
   RolloutPhase phase = RolloutPhase::kObserving;
   // By the leader's clock.
   WallTime phase_began_at{};
-  // Answers of canaries that the leader knew of then.
+  // Number of canary answers that the leader knew of when the phase began.
   std::uint64_t answers_before_phase = 0;
-  // Share of each router's requests that goes to canaries, in thousandths.
+  // Share of each router's requests that goes to the canaries, in thousandths.
   std::uint32_t share_permille = 0;
-  // Share of a router whose share no leader renews (canary_allowance.h).
+  // Share that a router uses while no leader renews its lease on
+  // share_permille, in thousandths (canary_allowance.h).
   std::uint32_t base_share_permille = 0;
-  // Revision of its last change.
+  // Revision of the control state in which the rollout last changed.
   std::uint64_t revision = 0;
-  // The change that ordered it.
+  // Identifies the operator's change that ordered the rollout.
   std::string change_id;
-  // Why it was rolled back.
+  // Why the rollout was rolled back, for operators.
   std::string reason;
 
   bool running() const { return state == RolloutState::kRunning; }
   bool operator==(const Rollout&) const = default;
 };
 
-// By service.
+// Rollouts by service.
 using Rollouts = std::map<std::string, Rollout>;
 
-// Whether a back end of this version gets no new work.
+// Whether backends of this version get no new requests.
 inline bool IsWithdrawn(const Rollout& rollout, const std::string& version) {
   const bool is_target = version == rollout.target_version;
   if (rollout.state == RolloutState::kRolledBack) {
@@ -97,7 +102,7 @@
   return replaces && rollout.replaced_versions.contains(version);
 }
 
-// Whether back ends of this version get a limited share of the requests.
+// Whether backends of this version get a limited share of the requests.
 inline bool IsCanary(const Rollout& rollout, const std::string& version) {
   return rollout.running() && version == rollout.target_version;
 }
--- a/source/common/rollout/rollout_judge.cc
+++ b/source/common/rollout/rollout_judge.cc
@@ -5,73 +5,78 @@
 namespace juniperway::rollout {
 namespace {
 
-// A router's report of the other version's answers is at most this much later
-// than one of a canary's: one heartbeat (session::SessionTiming).
-constexpr Duration kOthersReportedWithin = seconds(1);
-
-// While canaries get little, a verdict can wait for what all routers report of
-// the same second; later each second costs much of the exposure limit.
-VersionComparison::JudgingRule JudgingRuleOf(RolloutPhase phase) {
+// Routers report answers of the baseline version with their heartbeats, so at
+// most one heartbeat interval later than answers of canaries
+// (session::SessionTiming).
+constexpr Duration kBaselineReportDelay = seconds(1);
+
+// While the canaries get a small share, the evaluation waits until all routers
+// have reported the same second. In later phases each second of waiting would
+// use up a large part of the exposure limit.
+VersionComparison::EvaluationRule EvaluationRuleOf(RolloutPhase phase) {
   switch (phase) {
     case RolloutPhase::kObserving:
-      return {.failures_after = kOthersReportedWithin,
-              .latencies_after = kOthersReportedWithin};
+      return {.failures_after = kBaselineReportDelay,
+              .latencies_after = kBaselineReportDelay};
     case RolloutPhase::kWidening:
     case RolloutPhase::kFull:
-      return {.latencies_after = VersionComparison::kMomentReportedWithin,
-              .same_moment = true};
+      return {.latencies_after = VersionComparison::kTimeSlotReportDelay,
+              .within_time_slots = true};
     case RolloutPhase::kReplacing:
       break;
   }
   return {};
 }
 
-// What routers tell a new leader holds both versions' answers of the same time:
-// there is nothing to wait for.
-constexpr VersionComparison::JudgingRule kJudgeAtOnce{.latencies_after =
-                                                          Duration(0)};
-
-// Part of the routers that has to know a phase, or to have reported to a new
-// leader. With all of them a router that is cut off would hold up the roll-out
-// until its lease ends, a third of a short roll-out's time.
-constexpr double kMostRouters = 0.9;
-
-bool IsKnown(RolloutPhase phase, double confirmed_part) {
-  // The replaced versions stop next: no router may use them any more.
-  return confirmed_part >=
-         (phase == RolloutPhase::kReplacing ? 1.0 : kMostRouters);
+// A router's first report to a new leader holds the answers of both versions
+// over the same time, so the evaluation needs no delay.
+constexpr VersionComparison::EvaluationRule kEvaluateAtOnce{.latencies_after =
+                                                                Duration(0)};
+
+// Share of the routers that must have confirmed a phase, or have reported to a
+// new leader. If all routers were required, one partitioned router would block
+// the rollout until its lease expires: a third of the duration of a short
+// rollout.
+constexpr double kMinimumRouterShare = 0.9;
+
+bool IsConfirmed(RolloutPhase phase, double confirmed_share) {
+  // The replaced backends stop after this phase, so no router may still use
+  // them.
+  return confirmed_share >=
+         (phase == RolloutPhase::kReplacing ? 1.0 : kMinimumRouterShare);
 }
 
 }  // namespace
 
 void RolloutJudge::Stop() {
-  watches_.clear();
-  heard_.clear();
+  evaluations_.clear();
+  reported_routers_.clear();
 }
 
-bool RolloutJudge::HasHeardMost(const Fleet& fleet) const {
-  return static_cast<double>(heard_.size()) >=
-         kMostRouters * static_cast<double>(fleet.routers);
+bool RolloutJudge::HaveMostReported(const Fleet& fleet) const {
+  return static_cast<double>(reported_routers_.size()) >=
+         kMinimumRouterShare * static_cast<double>(fleet.routers);
 }
 
-RolloutJudge::Watch& RolloutJudge::WatchOf(const std::string& service,
-                                           const Rollout& rollout,
-                                           WallTime wall_time,
-                                           MonotonicTime now) {
-  Watch& watch = watches_[service];
-  if (watch.number != rollout.number) {
+RolloutJudge::Evaluation& RolloutJudge::EvaluationOf(const std::string& service,
+                                                     const Rollout& rollout,
+                                                     WallTime wall_time,
+                                                     MonotonicTime now) {
+  Evaluation& evaluation = evaluations_[service];
+  if (evaluation.number != rollout.number) {
     const Duration passed = wall_time - rollout.ordered_at;
-    watch = Watch{};
-    watch.number = rollout.number;
-    watch.since = now;
-    // Clocks of machines differ, and may jump.
-    watch.elapsed_before = std::clamp(passed, Duration(0), rollout.duration);
+    evaluation = Evaluation{};
+    evaluation.number = rollout.number;
+    evaluation.evaluated_since = now;
+    // Wall clocks of two leaders differ, and may jump.
+    evaluation.elapsed_before =
+        std::clamp(passed, Duration(0), rollout.duration);
   }
-  return watch;
+  return evaluation;
 }
 
-void RolloutJudge::ForgetEnded(const Rollouts& rollouts) {
-  std::erase_if(watches_, [&](const auto& entry) {
+void RolloutJudge::RemoveEnded(const Rollouts& rollouts) {
+  std::erase_if(evaluations_, [&](const auto& entry) {
     const auto rollout = rollouts.find(entry.first);
     return rollout == rollouts.end() || !rollout->second.running();
   });
@@ -86,10 +91,10 @@
     const bool current = rollout != rollouts.end() &&
                          rollout->second.running() &&
                          rollout->second.number == report.rollout;
-    const auto watch = watches_.find(report.group.service);
-    if (current && watch != watches_.end() &&
-        watch->second.number == report.rollout) {
-      watch->second.comparison.OnReport(router, incarnation, report, now);
+    const auto evaluation = evaluations_.find(report.group.service);
+    if (current && evaluation != evaluations_.end() &&
+        evaluation->second.number == report.rollout) {
+      evaluation->second.comparison.OnReport(router, incarnation, report, now);
     }
   }
 }
@@ -97,44 +102,50 @@
 std::vector<NamedStep> RolloutJudge::TakeSteps(const Rollouts& rollouts,
                                                const Fleet& fleet,
                                                MonotonicTime now) {
-  ForgetEnded(rollouts);
+  RemoveEnded(rollouts);
   std::vector<NamedStep> steps;
   for (const auto& [service, rollout] : rollouts) {
     if (!rollout.running()) {
       continue;
     }
-    Watch& watch = WatchOf(service, rollout, fleet.wall_time, now);
+    Evaluation& evaluation =
+        EvaluationOf(service, rollout, fleet.wall_time, now);
     const RouterProgress progress = fleet.progress(rollout.revision);
-    const bool known = IsKnown(rollout.phase, progress.confirmed);
-    if (watch.phase != rollout.phase || !known) {
-      watch.phase = rollout.phase;
-      watch.phase_since = MonotonicTime::max();
+    const bool confirmed = IsConfirmed(rollout.phase, progress.confirmed);
+    if (evaluation.phase != rollout.phase || !confirmed) {
+      evaluation.phase = rollout.phase;
+      evaluation.phase_confirmed_since = MonotonicTime::max();
     }
-    if (known) {
-      watch.phase_since = std::min(watch.phase_since, now);
+    if (confirmed) {
+      evaluation.phase_confirmed_since =
+          std::min(evaluation.phase_confirmed_since, now);
     }
-    if (!watch.heard && HasHeardMost(fleet)) {
-      watch.heard = true;
-      watch.comparison.Judge(now, kJudgeAtOnce);
+    if (!evaluation.most_reported && HaveMostReported(fleet)) {
+      evaluation.most_reported = true;
+      evaluation.comparison.Evaluate(now, kEvaluateAtOnce);
     }
-    watch.comparison.Judge(now, JudgingRuleOf(rollout.phase));
-    const Evidence evidence = watch.comparison.Describe();
+    evaluation.comparison.Evaluate(now, EvaluationRuleOf(rollout.phase));
+    const Evidence evidence = evaluation.comparison.Describe();
     const RolloutFacts facts{
-        .elapsed = watch.elapsed_before + (now - watch.since),
-        .watched = now - watch.since,
-        .heard = watch.heard,
-        .in_phase = known ? Duration(now - watch.phase_since) : Duration(0),
+        .elapsed =
+            evaluation.elapsed_before + (now - evaluation.evaluated_since),
+        .evaluated_for = now - evaluation.evaluated_since,
+        .most_reported = evaluation.most_reported,
+        .time_in_phase = confirmed
+                             ? Duration(now - evaluation.phase_confirmed_since)
+                             : Duration(0),
         .since_phase_began =
             std::clamp(Duration(fleet.wall_time - rollout.phase_began_at),
                        Duration(0), rollout.duration),
-        .canaries_worse = watch.comparison.IsWorse(fleet.routers),
-        .suspicion = watch.comparison.Suspicion(),
+        .canaries_worse = evaluation.comparison.IsWorse(fleet.routers),
+        .relative_score = evaluation.comparison.RelativeScore(),
         .canary_answers = evidence.canary_answers,
-        .other_answers = evidence.other_answers,
-        .canaries = fleet.count_backends(service, rollout.target_version),
-        .known = known,
+        .baseline_answers = evidence.other_answers,
+        .canary_backends =
+            fleet.count_backends(service, rollout.target_version),
+        .change_confirmed = confirmed,
         .released = progress.released >= 1};
-    watch.renews_share = MayRenewShare(rollout, facts);
+    evaluation.renews_share = MayRenewShare(rollout, facts);
     if (auto step = NextStep(rollout, facts, limit_)) {
       steps.push_back({.service = service,
                        .rollout = rollout.number,
@@ -147,18 +158,19 @@
 
 std::vector<RolloutNumber> RolloutJudge::RenewedShares() const {
   std::vector<RolloutNumber> renewed;
-  for (const auto& [service, watch] : watches_) {
-    if (watch.renews_share) {
-      renewed.push_back(watch.number);
+  for (const auto& [service, evaluation] : evaluations_) {
+    if (evaluation.renews_share) {
+      renewed.push_back(evaluation.number);
     }
   }
   return renewed;
 }
 
 Evidence RolloutJudge::EvidenceOf(const std::string& service) const {
-  const auto watch = watches_.find(service);
-  return watch == watches_.end() ? Evidence{}
-                                 : watch->second.comparison.Describe();
+  const auto evaluation = evaluations_.find(service);
+  return evaluation == evaluations_.end()
+             ? Evidence{}
+             : evaluation->second.comparison.Describe();
 }
 
 }  // namespace juniperway::rollout
--- a/source/common/rollout/rollout_judge.h
+++ b/source/common/rollout/rollout_judge.h
@@ -1,6 +1,7 @@
-// The leader's view of all roll-outs that are under way: what routers report of
-// their canaries, and which step each takes next. What routers report is soft
-// state: a new leader hears all of it again. Pure: time is an argument.
+// Evaluates all running rollouts on the leader: collects the routers' reports
+// about canaries and baseline, and decides the next step of each rollout. The
+// control node's LeaderRole owns it. The reports are soft state: routers send
+// all of them again to a new leader. Does no I/O: time is an argument.
 #pragma once
 
 #include <functional>
@@ -21,15 +22,17 @@
   std::string service;
   RolloutNumber rollout = 0;
   RolloutStep step;
-  // That decided it.
+  // What the comparison had found when the step was decided.
   Evidence evidence;
 };
 
-// How far routers with a lease are with a revision, as parts of them.
+// How many routers have applied a revision, as shares (0 to 1) of the routers
+// with a lease.
 struct RouterProgress {
-  // They know of it.
+  // Share of routers that have confirmed the revision.
   double confirmed = 0;
-  // Nothing of theirs is under way at back ends that it withdraws.
+  // Share of routers that have no request in flight at backends that the
+  // revision withdraws.
   double released = 0;
 };
 
@@ -37,66 +40,70 @@
  public:
   explicit RolloutJudge(const ExposureLimit& limit) : limit_(limit) {}
 
-  // This machine leads no more.
+  // Discards all state when this control node loses the leadership.
   void Stop();
 
   void OnReport(const std::string& router, std::uint64_t incarnation,
                 const std::vector<AnswerReport>& reports,
                 const Rollouts& rollouts, MonotonicTime now);
 
-  // The router has reported everything to this leader.
-  void OnHeard(const std::string& router) { heard_.insert(router); }
+  // Records that the router has reported all of its counts to this leader.
+  void OnHeard(const std::string& router) { reported_routers_.insert(router); }
 
-  // What is known of the fleet.
+  // What the leader knows of the fleet.
   struct Fleet {
     WallTime wall_time{};
     std::size_t routers = 0;
     std::function<RouterProgress(std::uint64_t revision)> progress;
-    // Back ends of a service with a version that are in use.
+    // Returns the number of listed backends of the service that run the
+    // version.
     std::function<std::size_t(const std::string& service,
                               const std::string& version)>
         count_backends;
   };
-  // Steps that are due. A step is named again until the state shows it.
+  // Returns the steps that are due. The same step is returned again until
+  // `rollouts` contains it.
   std::vector<NamedStep> TakeSteps(const Rollouts& rollouts, const Fleet& fleet,
                                    MonotonicTime now);
 
-  // Roll-outs whose routers may use a share above the base share, as of the
-  // last TakeSteps.
+  // Returns the rollouts whose routers may use a share above the base share, as
+  // of the last TakeSteps call.
   std::vector<RolloutNumber> RenewedShares() const;
 
-  // Of the roll-out that is under way; nothing was found otherwise.
+  // Returns the evidence on the service's running rollout; empty if none is
+  // running.
   Evidence EvidenceOf(const std::string& service) const;
 
  private:
-  // One roll-out under way, as this leader has seen it.
-  struct Watch {
+  // The state of one running rollout on this leader.
+  struct Evaluation {
     RolloutNumber number = 0;
-    // Elapsed time counts by this machine's clock that never steps; what went
-    // before it led is taken from the wall clocks.
-    MonotonicTime since;
+    // Time passed is measured with this node's monotonic clock; the time before
+    // this node became leader is taken from the wall clocks.
+    MonotonicTime evaluated_since;
     Duration elapsed_before{};
     RolloutPhase phase = RolloutPhase::kObserving;
-    // Known to enough routers since then; max(): it is not.
-    MonotonicTime phase_since = MonotonicTime::max();
-    // Most routers have reported everything.
-    bool heard = false;
-    // Routers may use a share above the base share.
+    // When enough routers had confirmed the phase; max() while they have not.
+    MonotonicTime phase_confirmed_since = MonotonicTime::max();
+    // Whether most routers have reported all of their counts.
+    bool most_reported = false;
+    // Whether routers may use a share above the base share.
     bool renews_share = false;
     VersionComparison comparison;
   };
 
-  // @return the watch of the roll-out, new where it is not watched yet.
-  Watch& WatchOf(const std::string& service, const Rollout& rollout,
-                 WallTime wall_time, MonotonicTime now);
-  void ForgetEnded(const Rollouts& rollouts);
-  // Most routers of the fleet have reported everything.
-  bool HasHeardMost(const Fleet& fleet) const;
+  // Returns the evaluation of the rollout, and creates it if the rollout is
+  // new.
+  Evaluation& EvaluationOf(const std::string& service, const Rollout& rollout,
+                           WallTime wall_time, MonotonicTime now);
+  void RemoveEnded(const Rollouts& rollouts);
+  // Whether most routers of the fleet have reported all of their counts.
+  bool HaveMostReported(const Fleet& fleet) const;
 
   ExposureLimit limit_;
-  std::map<std::string, Watch> watches_;
-  // Routers that have reported everything to this leader.
-  std::set<std::string> heard_;
+  std::map<std::string, Evaluation> evaluations_;
+  // Routers that have reported all of their counts to this leader.
+  std::set<std::string> reported_routers_;
 };
 
 }  // namespace juniperway::rollout
--- a/source/common/rollout/rollout_plan.cc
+++ b/source/common/rollout/rollout_plan.cc
@@ -8,41 +8,42 @@
 namespace juniperway::rollout {
 namespace {
 
-// Of the exposure limit's share, for the time of observing.
-constexpr double kObservingPart = 0.75;
-// Share while widening. A fault that shows there costs some 25 requests to find
-// and those of half a second until all routers know it.
+// Share of the exposure limit's share that the phase kObserving uses.
+constexpr double kObservingLimitShare = 0.75;
+// The canaries' share in the phase kWidening. To find a fault that appears
+// under this load takes about 25 requests, plus those sent during the half
+// second until all routers know the verdict.
 constexpr std::uint32_t kWideningPermille = 300;
-// Of a service with few requests, the part of them that canaries have to
-// answer.
-constexpr std::uint64_t kLeastAnswersPart = 8;
-// Answers of a version that fails in a third of them until that is found, and
-// the time until all routers know it (property.rollout/rollout).
-constexpr double kFindingAnswers = 25;
-constexpr Duration kTellingTime = milliseconds(500);
-// Of what is left of the exposure limit; the rest is for routers that learn of
-// a verdict late.
-constexpr double kUsedPart = 0.8;
-// Part of the roll-out's time that a phase takes.
-constexpr double kPhaseShare = kFullAfter - kWidenAfter;
-
-// Answers of canaries without which their share grows to everything only within
-// the exposure limit.
-constexpr std::uint64_t kManyAnswers = 2 * kLeastAnswers;
-
-// A phase with more canaries, and what has to be known before it.
-struct Share {
+// For a service with few requests, the canaries must have answered one in this
+// many of them.
+constexpr std::uint64_t kMinimumAnswersDivisor = 8;
+// Number of answers needed to find a version that fails in a third of them.
+constexpr double kDetectionAnswers = 25;
+constexpr Duration kNotificationDelay = milliseconds(500);
+// Share of the remaining exposure limit that a phase may use; the rest covers
+// routers that learn of a verdict late.
+constexpr double kUsableLimitShare = 0.8;
+// Share of the rollout's duration that one phase takes.
+constexpr double kPhaseDurationShare = kFullAfterShare - kWidenAfterShare;
+
+// Number of canary answers that allows the largest shares without a check
+// against the exposure limit.
+constexpr std::uint64_t kSufficientAnswers = 2 * kMinimumAnswers;
+
+// A phase with a larger share of canaries, and the number of canary answers
+// that it requires.
+struct Promotion {
   RolloutPhase phase;
   std::uint32_t permille;
-  // Answers of canaries.
-  std::uint64_t least_answers;
+  std::uint64_t minimum_answers;
 };
-constexpr Share kWidening{RolloutPhase::kWidening, kWideningPermille,
-                          kLeastAnswers};
-constexpr Share kFull{RolloutPhase::kFull, kFullPermille, kManyAnswers};
+constexpr Promotion kWidening{RolloutPhase::kWidening, kWideningPermille,
+                              kMinimumAnswers};
+constexpr Promotion kFull{RolloutPhase::kFull, kFullPermille,
+                          kSufficientAnswers};
 
-std::uint64_t RequestsOf(const RolloutFacts& facts) {
-  return facts.canary_answers + facts.other_answers;
+std::uint64_t TotalAnswers(const RolloutFacts& facts) {
+  return facts.canary_answers + facts.baseline_answers;
 }
 
 RolloutStep RollBack(const Rollout& rollout, const char* reason) {
@@ -52,136 +53,155 @@
           .reason = reason};
 }
 
-RolloutStep GoOn(RolloutPhase phase, std::uint32_t share_permille) {
+RolloutStep PromoteTo(RolloutPhase phase, std::uint32_t share_permille) {
   return {.phase = phase, .share_permille = share_permille, .reason = {}};
 }
 
-bool IsPast(const Rollout& rollout, const RolloutFacts& facts, double part) {
-  return ToSeconds(facts.elapsed) >= part * ToSeconds(rollout.duration);
+bool IsPast(const Rollout& rollout, const RolloutFacts& facts, double share) {
+  return ToSeconds(facts.elapsed) >= share * ToSeconds(rollout.duration);
 }
 
-// Too few answers, although there were requests that could have shown more: of
-// a service with few requests no more can be known.
-bool LacksAnswers(const RolloutFacts& facts, std::uint64_t least) {
+// Whether the canaries have too few answers although the service had enough
+// requests to give them more. A service with few requests cannot give more, so
+// its canaries need fewer answers.
+bool LacksAnswers(const RolloutFacts& facts, std::uint64_t minimum) {
   return facts.canary_answers <
-         std::min(least, RequestsOf(facts) / kLeastAnswersPart);
+         std::min(minimum, TotalAnswers(facts) / kMinimumAnswersDivisor);
 }
 
-// What is left of the limit for a version that is not found bad yet.
-double UsableLimit(const RolloutFacts& facts, const ExposureLimit& limit) {
-  const double left = limit.share * static_cast<double>(RequestsOf(facts)) +
-                      limit.slack - static_cast<double>(facts.canary_answers);
-  return left * kUsedPart;
+// Returns how many requests a phase may still send to a version that may turn
+// out bad.
+double UsableExposure(const RolloutFacts& facts, const ExposureLimit& limit) {
+  const double remaining =
+      limit.share * static_cast<double>(TotalAnswers(facts)) + limit.slack -
+      static_cast<double>(facts.canary_answers);
+  return remaining * kUsableLimitShare;
 }
 
-// Requests a second.
-double RateOf(const RolloutFacts& facts) {
-  return static_cast<double>(RequestsOf(facts)) /
+// Returns the service's requests per second since the order.
+double RequestRate(const RolloutFacts& facts) {
+  return static_cast<double>(TotalAnswers(facts)) /
          std::max(ToSeconds(facts.elapsed), 1.0);
 }
 
-// A phase with this share of canaries stays within what is left of the limit,
-// even if the version is bad.
-bool IsHarmless(const Rollout& rollout, const RolloutFacts& facts,
-                const ExposureLimit& limit, std::uint32_t share_permille) {
-  const double exposed_rate = RateOf(facts) * share_permille / kWholePermille;
-  const double phase = kPhaseShare * ToSeconds(rollout.duration);
-  // The whole phase, or what it takes to find a fault and to tell all routers.
-  const double exposed =
-      std::min(exposed_rate * phase,
-               kFindingAnswers + exposed_rate * ToSeconds(kTellingTime));
-  return exposed <= UsableLimit(facts, limit);
-}
-
-// The same of all requests until the roll-out's time is over, whether or not a
-// fault is found: a version that is complete is not undone.
-bool IsHarmlessToTheEnd(const Rollout& rollout, const RolloutFacts& facts,
-                        const ExposureLimit& limit) {
-  const double left =
+// Whether a phase with this share of canaries stays within the remaining
+// exposure limit even if the version is bad.
+bool FitsExposureLimit(const Rollout& rollout, const RolloutFacts& facts,
+                       const ExposureLimit& limit,
+                       std::uint32_t share_permille) {
+  const double exposed_rate =
+      RequestRate(facts) * share_permille / kWholePermille;
+  const double phase = kPhaseDurationShare * ToSeconds(rollout.duration);
+  // Requests that a bad version gets: those of the whole phase, or those until
+  // the fault is found and all routers know the verdict.
+  const double exposed = std::min(
+      exposed_rate * phase,
+      kDetectionAnswers + exposed_rate * ToSeconds(kNotificationDelay));
+  return exposed <= UsableExposure(facts, limit);
+}
+
+// Whether sending all requests to the canaries until the end of the rollout's
+// duration stays within the limit, even if no fault is found: a complete
+// rollout is not rolled back.
+bool FitsExposureLimitToTheEnd(const Rollout& rollout,
+                               const RolloutFacts& facts,
+                               const ExposureLimit& limit) {
+  const double remaining =
       std::max(0.0, ToSeconds(rollout.duration - facts.elapsed));
-  return RateOf(facts) * left <= UsableLimit(facts, limit);
+  return RequestRate(facts) * remaining <= UsableExposure(facts, limit);
 }
 
-std::optional<RolloutStep> Widen(const Rollout& rollout,
-                                 const RolloutFacts& facts,
-                                 const ExposureLimit& limit,
-                                 const Share& share) {
-  const bool may = !LacksAnswers(facts, share.least_answers) ||
-                   IsHarmless(rollout, facts, limit, share.permille);
-  return facts.canaries > 0 && may
-             ? std::optional(GoOn(share.phase, share.permille))
+std::optional<RolloutStep> PromoteIfAllowed(const Rollout& rollout,
+                                            const RolloutFacts& facts,
+                                            const ExposureLimit& limit,
+                                            const Promotion& promotion) {
+  const bool is_allowed =
+      !LacksAnswers(facts, promotion.minimum_answers) ||
+      FitsExposureLimit(rollout, facts, limit, promotion.permille);
+  return facts.canary_backends > 0 && is_allowed
+             ? std::optional(PromoteTo(promotion.phase, promotion.permille))
              : std::nullopt;
 }
 
-Duration AtMostPart(const Rollout& rollout, Duration longest, double part) {
-  return std::min(longest, FromSeconds(ToSeconds(rollout.duration) * part));
+Duration BoundByDurationShare(const Rollout& rollout, Duration maximum,
+                              double share) {
+  return std::min(maximum, FromSeconds(ToSeconds(rollout.duration) * share));
 }
 
-// The leader has been told of all answers so far.
-bool KnowsAnswers(const Rollout& rollout, const RolloutFacts& facts) {
-  return facts.heard ||
-         facts.watched >= AtMostPart(rollout, kReportTime, kReportShare);
+// Whether this leader has received the counts of the answers so far.
+bool HasReceivedReports(const Rollout& rollout, const RolloutFacts& facts) {
+  return facts.most_reported ||
+         facts.evaluated_for >=
+             BoundByDurationShare(rollout, kReportTimeout, kReportTimeoutShare);
 }
 
-// The phase has lasted long enough for its answers to come in. A new leader
-// takes answers that came after the step as a sign that routers knew of it.
+// Whether the phase has lasted long enough for routers to report its answers.
+// If answers arrived after the phase began, routers used its share, so a new
+// leader counts the time from the step and not from its own start.
 bool HasLasted(const Rollout& rollout, const RolloutFacts& facts) {
-  const Duration least = AtMostPart(rollout, kLeastPhase, kLeastPhaseShare);
+  const Duration minimum =
+      BoundByDurationShare(rollout, kMinimumPhaseDuration, kMinimumPhaseShare);
   const bool answers_came =
-      facts.canary_answers >= rollout.answers_before_phase + kLeastAnswers;
-  if (facts.in_phase >= least ||
-      (answers_came && facts.since_phase_began >= least)) {
+      facts.canary_answers >= rollout.answers_before_phase + kMinimumAnswers;
+  if (facts.time_in_phase >= minimum ||
+      (answers_came && facts.since_phase_began >= minimum)) {
     return true;
   }
-  // With so few requests the last phase brings no verdict.
-  const bool too_few = RateOf(facts) * ToSeconds(least) <
-                       static_cast<double>(VersionComparison::kWitnesses);
-  return rollout.phase == RolloutPhase::kReplacing && too_few;
+  // With so few requests the phase kReplacing cannot reach a verdict, so the
+  // rollout does not wait for one.
+  const bool too_few_requests =
+      RequestRate(facts) * ToSeconds(minimum) <
+      static_cast<double>(VersionComparison::kMinimumWitnesses);
+  return rollout.phase == RolloutPhase::kReplacing && too_few_requests;
 }
 
-// The phase is known, and what its answers say as well.
+// Whether the routers have confirmed the phase and its answers allow a next
+// step.
 bool IsReadyForStep(const Rollout& rollout, const RolloutFacts& facts) {
-  return facts.known && facts.suspicion < kSuspicious &&
-         KnowsAnswers(rollout, facts) && HasLasted(rollout, facts);
+  return facts.change_confirmed &&
+         facts.relative_score < kMaximumScoreForStep &&
+         HasReceivedReports(rollout, facts) && HasLasted(rollout, facts);
 }
 
-// Canaries may take the place of the others.
+// Whether the canaries may replace the baseline version.
 bool MayReplace(const Rollout& rollout, const RolloutFacts& facts,
                 const ExposureLimit& limit) {
-  if (facts.canary_answers >= kManyAnswers) {
+  if (facts.canary_answers >= kSufficientAnswers) {
     return true;
   }
-  const bool is_late = IsPast(rollout, facts, kReplaceWithFewAfter);
-  const bool has_answers = !LacksAnswers(facts, kLeastAnswers) ||
+  const bool is_late = IsPast(rollout, facts, kReplaceWithFewAnswersAfterShare);
+  const bool has_answers = !LacksAnswers(facts, kMinimumAnswers) ||
                            (is_late && facts.canary_answers > 0);
-  return has_answers && IsHarmlessToTheEnd(rollout, facts, limit);
+  return has_answers && FitsExposureLimitToTheEnd(rollout, facts, limit);
 }
 
-// The next step of a phase that is known and has lasted.
+// Returns the step that follows a confirmed phase that has lasted long enough.
 std::optional<RolloutStep> StepAfter(const Rollout& rollout,
                                      const RolloutFacts& facts,
                                      const ExposureLimit& limit) {
   switch (rollout.phase) {
     case RolloutPhase::kObserving:
-      return IsPast(rollout, facts, kWidenAfter)
-                 ? Widen(rollout, facts, limit, kWidening)
+      return IsPast(rollout, facts, kWidenAfterShare)
+                 ? PromoteIfAllowed(rollout, facts, limit, kWidening)
                  : std::nullopt;
     case RolloutPhase::kWidening:
-      return IsPast(rollout, facts, kFullAfter) &&
-                     facts.suspicion < kSuspiciousBeforeFull
-                 ? Widen(rollout, facts, limit, kFull)
+      return IsPast(rollout, facts, kFullAfterShare) &&
+                     facts.relative_score < kMaximumScoreBeforeFull
+                 ? PromoteIfAllowed(rollout, facts, limit, kFull)
                  : std::nullopt;
     case RolloutPhase::kFull:
-      return IsPast(rollout, facts, kReplaceAfter) &&
-                     facts.suspicion < kSuspiciousBeforeFull &&
+      return IsPast(rollout, facts, kReplaceAfterShare) &&
+                     facts.relative_score < kMaximumScoreBeforeFull &&
                      MayReplace(rollout, facts, limit)
-                 ? std::optional(GoOn(RolloutPhase::kReplacing, kWholePermille))
+                 ? std::optional(
+                       PromoteTo(RolloutPhase::kReplacing, kWholePermille))
                  : std::nullopt;
     case RolloutPhase::kReplacing:
       break;
   }
   if (!facts.released &&
-      facts.in_phase < AtMostPart(rollout, kLongestDrain, kDrainShare)) {
+      facts.time_in_phase <
+          BoundByDurationShare(rollout, kDrainTimeout, kDrainTimeoutShare)) {
     return std::nullopt;
   }
   return RolloutStep{.state = RolloutState::kComplete,
@@ -190,33 +210,36 @@
                      .reason = {}};
 }
 
-// Answers speak for the version, and only time was short.
-bool MayBeLate(const Rollout& rollout, const RolloutFacts& facts,
-               const ExposureLimit& limit) {
-  const bool is_judged =
-      facts.canary_answers >= kManyAnswers ||
-      (facts.canary_answers > 0 && IsHarmlessToTheEnd(rollout, facts, limit));
-  return is_judged && facts.suspicion < kSuspiciousBeforeFull &&
-         !IsPast(rollout, facts, kUndoLateAfter);
+// Whether the rollout may end late: the canaries' answers are good, but the
+// steps were delayed.
+bool MayFinishLate(const Rollout& rollout, const RolloutFacts& facts,
+                   const ExposureLimit& limit) {
+  const bool has_enough_answers =
+      facts.canary_answers >= kSufficientAnswers ||
+      (facts.canary_answers > 0 &&
+       FitsExposureLimitToTheEnd(rollout, facts, limit));
+  return has_enough_answers && facts.relative_score < kMaximumScoreBeforeFull &&
+         !IsPast(rollout, facts, kRollBackLateAfterShare);
 }
 
 }  // namespace
 
 std::uint32_t ObservingShare(const ExposureLimit& limit) {
   return static_cast<std::uint32_t>(
-      std::floor(limit.share * kObservingPart * kWholePermille));
+      std::floor(limit.share * kObservingLimitShare * kWholePermille));
 }
 
 bool MayRenewShare(const Rollout& rollout, const RolloutFacts& facts) {
   return rollout.share_permille > rollout.base_share_permille &&
-         KnowsAnswers(rollout, facts) && !facts.canaries_worse &&
-         facts.suspicion < kSuspicious;
+         HasReceivedReports(rollout, facts) && !facts.canaries_worse &&
+         facts.relative_score < kMaximumScoreForStep;
 }
 
 std::optional<RolloutStep> NextStep(const Rollout& rollout,
                                     const RolloutFacts& facts,
                                     const ExposureLimit& limit) {
-  // Until it is complete the replaced versions are there to go back to.
+  // The replaced backends run until the rollout is complete, so that it can be
+  // rolled back in every phase.
   if (facts.canaries_worse) {
     return RollBack(rollout, "its answers are worse");
   }
@@ -226,8 +249,9 @@
     }
   }
   if (rollout.phase != RolloutPhase::kReplacing &&
-      IsPast(rollout, facts, kUndoAfter) && !MayBeLate(rollout, facts, limit)) {
-    return RollBack(rollout, "it could not be judged in time");
+      IsPast(rollout, facts, kRollBackAfterShare) &&
+      !MayFinishLate(rollout, facts, limit)) {
+    return RollBack(rollout, "the canaries could not be evaluated in time");
   }
   return std::nullopt;
 }
--- a/source/common/rollout/rollout_plan.h
+++ b/source/common/rollout/rollout_plan.h
@@ -1,11 +1,12 @@
-// When a roll-out goes on to its next phase, is complete, or is rolled back.
-// Pure: decided from how much of its time has passed and what was found.
+// Decides when a rollout enters its next phase, is complete or is rolled back,
+// from its elapsed time and the leader's evaluation. Stateless functions
+// without I/O; RolloutJudge calls them.
 //
-// The fleet may send a bad version (limit.share x all requests) + limit.slack
-// requests until the end of the roll-out's duration. Three quarters of the
-// share are spent while observing; the rest and the slack are there for a fault
-// that shows only later or under load, until it is found and all routers know
-// it.
+// Until the end of the rollout's duration the fleet may send a bad version
+// (limit.share x all requests) + limit.slack requests. The phase kObserving
+// uses three quarters of the share. The rest and the slack cover a fault that
+// appears later or only under load, until it is found and all routers know the
+// verdict.
 #pragma once
 
 #include <cstdint>
@@ -17,92 +18,99 @@
 
 namespace juniperway::rollout {
 
-// What the plan goes by.
+// What NextStep decides from.
 struct RolloutFacts {
-  // Since it was ordered.
+  // Time since the rollout was ordered.
   Duration elapsed{};
-  // Since this leader hears the routers' reports of it.
-  Duration watched{};
-  // Most routers have reported everything to this leader.
-  bool heard = false;
-  // Since this leader saw that its phase is known.
-  Duration in_phase{};
-  // Since the step to its phase, by the wall clocks.
+  // Time since this leader began to receive the routers' reports on the
+  // rollout.
+  Duration evaluated_for{};
+  // Whether most routers have reported all of their counts to this leader.
+  bool most_reported = false;
+  // Time since this leader saw that enough routers had confirmed the phase.
+  Duration time_in_phase{};
+  // Time since the step to the phase, by the wall clocks.
   Duration since_phase_began{};
-  // The canaries do worse than the others (version_comparison.h).
+  // The verdict: the canaries do worse than the baseline
+  // (version_comparison.h).
   bool canaries_worse = false;
-  // How far the comparison has come towards that: 1 is there.
-  double suspicion = 0;
+  // The comparison's highest score divided by the score that gives a verdict.
+  double relative_score = 0;
   std::uint64_t canary_answers = 0;
-  std::uint64_t other_answers = 0;
-  // Back ends of the target version that are listed and not leaving.
-  std::size_t canaries = 0;
-  // Most routers with a lease know of the last change of the roll-out; in the
-  // last phase all of them do.
-  bool known = false;
-  // No router has anything under way at back ends that get no new work.
+  std::uint64_t baseline_answers = 0;
+  // Number of listed backends of the target version that are not draining.
+  std::size_t canary_backends = 0;
+  // Whether enough routers with a lease have confirmed the rollout's last
+  // change: most of them, in the phase kReplacing all of them.
+  bool change_confirmed = false;
+  // Whether no router has a request in flight at backends that get no new
+  // requests.
   bool released = false;
 };
 
-// A change of a roll-out that is under way.
+// A change of a running rollout.
 struct RolloutStep {
   RolloutState state = RolloutState::kRunning;
   RolloutPhase phase = RolloutPhase::kObserving;
   std::uint32_t share_permille = 0;
-  // Of kRolledBack.
+  // Set for kRolledBack only.
   std::string reason;
 
   bool operator==(const RolloutStep&) const = default;
 };
 
-// The parts of a roll-out's time after which it goes on at the earliest. What
-// remains is for the replaced versions to end their work.
-inline constexpr double kWidenAfter = 0.45;
-inline constexpr double kFullAfter = 0.6;
-inline constexpr double kReplaceAfter = 0.75;
-// From there on a few answers do, where the exposure limit has room for all
-// requests: of 1,000 good versions with 2 requests a second one saw no second
-// request in 4 s, and was undone (property.rollout/rollout).
-inline constexpr double kReplaceWithFewAfter = 0.85;
-// Without enough answers it waits, but no longer than this part.
-inline constexpr double kUndoAfter = 0.95;
-// One whose answers speak for it may be late, but ends within this time:
-// leaders that were lost one after the other have held it up.
-inline constexpr double kUndoLateAfter = 1.5;
-// A version is taken for suspicious from these parts of the way to a verdict,
-// and waits for more answers. At a third, 4 of 100 good versions whose service
-// failed in 30 % of all answers for four seconds were not judged in time; at
-// two thirds none. It is a third before canaries get nearly everything, and
-// before they replace the others: a fault of one route in six of a hundred
-// answers got there otherwise.
-inline constexpr double kSuspicious = 2.0 / 3;
-inline constexpr double kSuspiciousBeforeFull = 1.0 / 3;
-// Answers of canaries without which nothing is known of the version. Of a
-// version that fails in a third of its answers 20 show none in 0.03 %.
-inline constexpr std::uint64_t kLeastAnswers = 20;
-// A leader that is new knows nothing of the answers before the routers have
-// reported. Those that it has not heard by then are cut off: each reports once
-// a second.
-inline constexpr Duration kReportTime = milliseconds(1500);
-inline constexpr double kReportShare = 0.125;
-// Every phase lasts this long at the least once it is known, also when a new
-// leader is late: the answers that it brings have to come in.
-inline constexpr Duration kLeastPhase = seconds(1);
-inline constexpr double kLeastPhaseShare = 0.08;
-// Work of the replaced versions that is under way when they get nothing more
-// has this time to end, as far as the roll-out's own time has room for it. It
-// is not waited for once all routers have said that nothing is under way.
-inline constexpr Duration kLongestDrain = milliseconds(1500);
-inline constexpr double kDrainShare = 0.125;
+// Shares of the rollout's duration after which the next phase may begin. The
+// time after the last one is left for the replaced versions to finish their
+// requests.
+inline constexpr double kWidenAfterShare = 0.45;
+inline constexpr double kFullAfterShare = 0.6;
+inline constexpr double kReplaceAfterShare = 0.75;
+// After this share a single canary answer is enough, if the exposure limit has
+// capacity for all remaining requests. Otherwise one in 1,000 good versions of
+// services with 2 requests per second, which may see no second request for 4 s,
+// would be rolled back.
+inline constexpr double kReplaceWithFewAnswersAfterShare = 0.85;
+// A rollout without enough answers is rolled back after this share of its
+// duration.
+inline constexpr double kRollBackAfterShare = 0.95;
+// A rollout with enough good answers may be late, since several leader changes
+// can delay its steps, but is rolled back after this multiple of its duration.
+inline constexpr double kRollBackLateAfterShare = 1.5;
+// Relative scores from which on the rollout waits for more answers before its
+// next step. With the bound 1/3, 4 of 100 good versions would not be evaluated
+// in time when both versions fail in 30 % of their answers for four seconds;
+// with 2/3 none. The lower bound applies before canaries get nearly all
+// requests and before they replace the baseline; without it a version with a
+// fault on one route, in 6 of 100 answers, would be promoted.
+inline constexpr double kMaximumScoreForStep = 2.0 / 3;
+inline constexpr double kMaximumScoreBeforeFull = 1.0 / 3;
+// Number of canary answers needed to evaluate a version. A version that fails
+// in a third of its answers shows no failure in 20 answers with a probability
+// of 0.03 %.
+inline constexpr std::uint64_t kMinimumAnswers = 20;
+// How long a new leader waits for routers' reports before it takes a step.
+// Routers report once per second, so those that are still missing after this
+// time are partitioned.
+inline constexpr Duration kReportTimeout = milliseconds(1500);
+inline constexpr double kReportTimeoutShare = 0.125;
+// Minimum duration of a confirmed phase, also after a leader change, so that
+// routers can report its answers.
+inline constexpr Duration kMinimumPhaseDuration = seconds(1);
+inline constexpr double kMinimumPhaseShare = 0.08;
+// How long the rollout waits for requests in flight at the replaced versions,
+// bounded by a share of its duration. The wait ends early once all routers
+// report that none is in flight.
+inline constexpr Duration kDrainTimeout = milliseconds(1500);
+inline constexpr double kDrainTimeoutShare = 0.125;
 
-// First share of canaries, in thousandths.
+// Returns the canaries' share in the phase kObserving, in thousandths.
 std::uint32_t ObservingShare(const ExposureLimit& limit);
 
-// Whether routers may use a share above the base share: the leader knows the
-// answers so far, and they do not speak against the version.
+// Whether routers may use a share above the base share: this leader has
+// received the answers so far, and their score is below the bound.
 bool MayRenewShare(const Rollout& rollout, const RolloutFacts& facts);
 
-// @return nothing: it stays as it is for now.
+// Returns the step that is due, or nothing if the rollout stays as it is.
 std::optional<RolloutStep> NextStep(const Rollout& rollout,
                                     const RolloutFacts& facts,
                                     const ExposureLimit& limit);
--- a/source/common/rollout/version_comparison.h
+++ b/source/common/rollout/version_comparison.h
@@ -1,23 +1,26 @@
-// Whether the canaries of one service do worse than the back ends that they are
-// to replace, from what all routers have seen of both. Pure.
+// Decides whether the canaries of one service do worse than the baseline
+// version, the backends that they are to replace, from the reports of all
+// routers. RolloutJudge owns one comparison per running rollout. Does no I/O:
+// time is an argument.
 //
-// An answer is bad when it is a failure or several times slower than what is
-// usual of the other version. What is compared is the share of failures, and
-// that of slow answers, of each route alone and of all routes together, on the
-// same seconds: what hits both versions alike (a zone that is down, spoiled
-// answers) is no reason to roll back.
+// An answer is bad if it is a failure or several times slower than typical
+// answers of the baseline version. The comparison evaluates the share of
+// failures and the share of slow answers separately, for each route and for all
+// routes together, against baseline answers of the same seconds: a fault that
+// affects both versions alike (a failed zone, corrupted answers) must not cause
+// a rollback.
 //
-// Slow answers come in bursts: a machine that is busy for a moment makes
-// whatever is under way slow. Once canaries get most requests, most of those
-// are theirs, so their slow answers are judged by those of the other version in
-// the same fraction of a second only.
+// Slow answers come in bursts: a machine that is briefly busy delays all of its
+// requests in flight. Once the canaries get most requests, most of these slow
+// answers are theirs. From then on slow answers are compared only with baseline
+// answers of the same fraction of a second.
 //
-// The test is a cumulative sum of log-likelihood ratios (Page 1954) between the
-// other version's share of bad answers and that share plus kLeastHarm. It
-// starts over at zero whenever the canaries do well, so that a version that
-// turns bad later is found as fast as one that is bad from the start. Under the
-// first hypothesis it reaches the limit after e^limit answers on average at the
-// least (Lorden 1971).
+// The test is a cumulative sum of log-likelihood ratios (Page 1954) between two
+// hypotheses: the canaries have the baseline's share of bad answers, or that
+// share plus kMinimumDetectedIncrease. The sum is never negative, so a version
+// that turns bad later is found as fast as one that is bad from the start. If
+// the first hypothesis holds, the sum reaches the limit after e^limit answers
+// on average at the earliest (Lorden 1971).
 #pragma once
 
 #include <array>
@@ -41,163 +44,178 @@
   std::uint64_t canary_bad = 0;
   std::uint64_t other_answers = 0;
   double other_bad_share = 0;
-  // Highest of all routes' sums.
+  // Highest cumulative sum of all routes.
   double score = 0;
-  // Routers that saw bad answers of canaries, of that sum.
+  // Number of witnesses: routers that reported bad canary answers which count
+  // in that sum.
   std::size_t witnesses = 0;
 };
 
 class VersionComparison {
  public:
-  // Of the test: one false alarm in 1e5 answers of a version as good as the
-  // other one, some 500 roll-outs of 200 answers each.
+  // The cumulative sum that gives a verdict. A version as good as the baseline
+  // reaches it once in 1e5 answers: one false alarm in some 500 rollouts of 200
+  // answers each.
   static constexpr double kScoreLimit = 11.5;
-  // Difference of the shares of bad answers that has to be found.
-  static constexpr double kLeastHarm = 0.2;
-  // The other version's share is never taken for less: 1 in 50 answers of a
-  // version without faults is slow, for example while its back end pauses.
-  static constexpr double kLeastUsualShare = 0.02;
-  // And for so many times more than it was seen: it is known from few answers.
-  static constexpr double kUsualShareMargin = 1.5;
-  // An answer is slow when it takes this many steps of a half octave more than
-  // three quarters of the other version's answers: 2 to 2.8 times as long. Work
-  // that takes four times as long makes an answer some 3.5 times slower, a
-  // connection that is new 1.5 to 2.2 times (11 and 4 ms of work, 6 ms for the
-  // connection).
+  // The increase in the share of bad answers that the test is designed to
+  // detect.
+  static constexpr double kMinimumDetectedIncrease = 0.2;
+  // Lower bound of the baseline's share of bad answers: in a version without
+  // faults 1 in 50 answers is slow, for example because its backend pauses.
+  static constexpr double kMinimumBaselineShare = 0.02;
+  // Factor on the baseline's share of bad answers, which is estimated from few
+  // answers.
+  static constexpr double kBaselineShareMargin = 1.5;
+  // An answer is slow if its latency lies this many steps of half an octave
+  // above the 75 % quantile of the baseline: 2 to 2.8 times as long. Four times
+  // as much work makes an answer some 3.5 times slower; a new connection, which
+  // takes 6 ms, makes answers with 4 to 11 ms of work only 1.5 to 2.2 times
+  // slower.
   static constexpr std::size_t kSlowerSteps = 3;
-  // The other version is judged by its answers of the last seconds: they fade
-  // to 1 / e in this time.
-  static constexpr Duration kMemory = seconds(4);
-  // And by those of the last moment, as far as chance does not explain them:
-  // when both versions begin to fail alike, the canaries' answers are reported
-  // at once and the others' fade in. 4 of 1,000 good versions were undone so
-  // (property.rollout/rollout).
-  static constexpr Duration kShortMemory = seconds(1);
-  // One router, or one network between a router and its canaries, must not end
-  // a roll-out.
-  static constexpr std::size_t kWitnesses = 3;
-  // Answers are of the same moment when they were reported in the same slot as
-  // the canary's, the one before, or one of the two after it. Routers that send
-  // canaries requests report each 0.2 s.
-  static constexpr Duration kMomentSlot = milliseconds(250);
-  static constexpr Duration kMomentReportedWithin = 2 * kMomentSlot;
-
-  // @param router and its start: a router that restarts counts from zero.
+  // Decay time of the baseline's statistics.
+  static constexpr Duration kDecayTime = seconds(4);
+  // Decay time of the second, shorter statistics, whose share of bad answers,
+  // less one standard deviation, applies if it is higher. When both versions
+  // begin to fail alike, the canaries' failures are reported at once, while the
+  // long-term statistics follow only slowly; without the short ones 4 of 1,000
+  // good versions would be rolled back.
+  static constexpr Duration kShortDecayTime = seconds(1);
+  // Minimum number of witnesses (routers that reported bad canary answers) for
+  // a verdict, so that one router or one network path between a router and its
+  // canaries cannot end a rollout.
+  static constexpr std::size_t kMinimumWitnesses = 3;
+  // A canary answer is compared with baseline answers that were reported in the
+  // same time slot, the one before, or one of the two after. Routers that send
+  // requests to canaries report every 0.2 s.
+  static constexpr Duration kTimeSlot = milliseconds(250);
+  static constexpr Duration kTimeSlotReportDelay = 2 * kTimeSlot;
+
+  // Adds what is new in a router's report.
+  // @param incarnation a restarted router counts from zero again.
   void OnReport(const std::string& router, std::uint64_t incarnation,
                 const AnswerReport& report, MonotonicTime now);
 
-  // When answers of canaries are judged, since they were reported. The others'
-  // answers of the same moment are reported up to a second later: a fault that
-  // hits both alike looks like the canaries' own until then, and 3 of 1,000
-  // good versions were undone for it (property.rollout/rollout).
-  struct JudgingRule {
+  // How long after their report canary answers are evaluated. Baseline answers
+  // of the same moment are reported up to a second later. Without the delay, a
+  // fault that affects both versions looks like a fault of the canaries, and 3
+  // of 1,000 good versions would be rolled back.
+  struct EvaluationRule {
     Duration failures_after{};
-    // Nothing: slow answers are not judged. While the other version gets no
-    // requests, what makes all answers slower has nothing to be compared with.
+    // Empty: slow answers are not evaluated. While the baseline version gets no
+    // requests, there is nothing to compare with if all answers become slower.
     std::optional<Duration> latencies_after;
-    // Slow answers are compared to answers of the same moment.
-    bool same_moment = false;
+    // Whether slow answers are compared only with baseline answers of adjacent
+    // time slots.
+    bool within_time_slots = false;
   };
-  void Judge(MonotonicTime now, const JudgingRule& rule);
+  void Evaluate(MonotonicTime now, const EvaluationRule& rule);
 
-  // The canaries do worse.
-  // @param routers that there are: a fleet of two has two witnesses at most.
+  // The verdict: whether the canaries do worse.
+  // @param routers size of the fleet; a fleet of two needs only two witnesses.
   bool IsWorse(std::size_t routers) const;
-  // How far the worst sum has come towards its limit; 1 and more: it is there.
-  double Suspicion() const { return WorstSum().score / kScoreLimit; }
+  // Returns the highest cumulative sum divided by kScoreLimit; at 1 it suffices
+  // for a verdict.
+  double RelativeScore() const { return WorstSum().score / kScoreLimit; }
   Evidence Describe() const;
 
  private:
-  // What one router has reported of one group.
+  // The last counts that one router has reported of one group.
   struct Source {
     std::uint64_t incarnation = 0;
     AnswerCounts counts;
   };
-  // What is bad of an answer.
+  // In which way an answer is bad.
   enum class Badness { kFailed, kSlow };
-  // How many of some answers are bad.
+  // Number of bad answers among a total; decayed counts are fractional.
   struct BadCount {
     double bad = 0;
     double total = 0;
   };
-  // The other version's answers of late.
-  class Usual {
+  // Exponentially decayed counts of the baseline version's answers.
+  class BaselineStatistics {
    public:
-    explicit Usual(Duration memory) : memory_(memory) {}
+    explicit BaselineStatistics(Duration decay_time)
+        : decay_time_(decay_time) {}
 
-    void Fade(MonotonicTime now);
+    void Decay(MonotonicTime now);
     void Add(const AnswerCounts& counts);
-    // The first step that counts as slow; kLatencySteps: none is known.
+    // Returns the first latency step that counts as slow; kLatencySteps if too
+    // few answers are known.
     std::size_t SlowStep() const;
-    // Slow ones are those that took this step or a higher one.
+    // Counts the bad answers. For Badness::kSlow these are the timed answers in
+    // slow_step or a higher step.
     BadCount Count(Badness badness, std::size_t slow_step) const;
 
    private:
-    Duration memory_;
+    Duration decay_time_;
     double total_ = 0;
     double failed_ = 0;
     std::array<double, kLatencySteps> timed_{};
-    MonotonicTime faded_at_;
+    MonotonicTime decayed_at_;
   };
-  // The other version's answers by the moment at which they were reported.
-  class Moments {
+  // The baseline version's answers by the time slot in which they were
+  // reported.
+  class BaselineTimeSlots {
    public:
     void Add(const AnswerCounts& counts, MonotonicTime now);
-    // Timed answers that were reported around then.
+    // Counts timed answers that were reported around `time`.
     BadCount CountAround(MonotonicTime time, std::size_t slow_step) const;
 
    private:
     std::map<std::int64_t, AnswerCounts> by_slot_;
   };
-  struct Sum {
+  struct CumulativeSum {
     double score = 0;
     std::set<std::string> witnesses;
 
     void Add(const std::string& router, std::uint32_t good, std::uint32_t bad,
-             double usual_share);
+             double baseline_share);
   };
   struct Comparison {
-    Usual usual{kMemory};
-    Usual latest{kShortMemory};
-    Moments moments;
-    Sum failures;
-    Sum slow;
-
-    void AddOther(const AnswerCounts& counts, MonotonicTime now);
-    void Fade(MonotonicTime now);
-    // Share of bad answers that a version as good as the other one may have.
-    double UsualShare(Badness badness) const;
-    // The same of slow answers around then; nothing: too few are known.
+    BaselineStatistics baseline{kDecayTime};
+    BaselineStatistics latest_baseline{kShortDecayTime};
+    BaselineTimeSlots time_slots;
+    CumulativeSum failures;
+    CumulativeSum slow;
+
+    void AddBaseline(const AnswerCounts& counts, MonotonicTime now);
+    void Decay(MonotonicTime now);
+    // Returns the share of bad answers that a version as good as the baseline
+    // may have.
+    double AllowedBadShare(Badness badness) const;
+    // Returns that share for slow answers around `time`; nothing if too few
+    // baseline answers are known.
     std::optional<double> SlowShareAround(MonotonicTime time) const;
   };
 
-  // Answers of canaries that are not judged yet.
-  struct Unjudged {
+  // Reported canary answers that are still to be evaluated.
+  struct PendingAnswers {
     MonotonicTime reported_at;
     std::string router;
     std::string route;
     AnswerCounts counts;
   };
 
-  // What is new in a report.
-  AnswerCounts TakeNew(const std::string& router, std::uint64_t incarnation,
-                       const AnswerReport& report);
-  void JudgeFailures(const Unjudged& answers);
-  void JudgeLatencies(const Unjudged& answers, bool same_moment);
-  // Of all routes together, and of each alone.
-  std::vector<const Sum*> Sums() const;
-  // The sum that is nearest to its limit.
-  const Sum& WorstSum() const;
+  // Returns the counts that the router's previous report did not contain.
+  AnswerCounts TakeIncrement(const std::string& router,
+                             std::uint64_t incarnation,
+                             const AnswerReport& report);
+  void EvaluateFailures(const PendingAnswers& answers);
+  void EvaluateLatencies(const PendingAnswers& answers, bool within_time_slots);
+  // Returns the sums of all routes together and of each route alone.
+  std::vector<const CumulativeSum*> AllSums() const;
+  // Returns the highest sum.
+  const CumulativeSum& WorstSum() const;
 
   std::map<std::pair<std::string, AnswerGroup>, Source> sources_;
-  // Oldest first.
-  std::deque<Unjudged> unjudged_failures_;
-  std::deque<Unjudged> unjudged_latencies_;
+  // Both queues are ordered by time of report, oldest first.
+  std::deque<PendingAnswers> pending_failures_;
+  std::deque<PendingAnswers> pending_latencies_;
   std::map<std::string, Comparison> by_route_;
   Comparison all_routes_;
   std::uint64_t canary_answers_ = 0;
   std::uint64_t canary_bad_ = 0;
-  std::uint64_t other_answers_ = 0;
+  std::uint64_t baseline_answers_ = 0;
 };
 
 }  // namespace juniperway::rollout
--- a/test/property/rollout/rollout_leases_test.cc
+++ b/test/property/rollout/rollout_leases_test.cc
@@ -1,6 +1,6 @@
-// Roll-outs while leaders, routers and networks fail, where what is in force is
-// known from routers' heartbeats only, over several rates, durations and
-// fleets.
+// Rollouts while leaders, routers and networks fail, for several request rates,
+// durations and fleet sizes. The leader knows what is in force from routers'
+// heartbeats only.
 #include <doctest/doctest.h>
 
 #include <cstdint>
@@ -25,16 +25,17 @@
           kWorldExposure.slack);
 }
 
-RolloutReport Play(RolloutWorldOptions options, std::uint64_t seed) {
+RolloutReport RunWorld(RolloutWorldOptions options, std::uint64_t seed) {
   options.seed = seed;
   options.leases = true;
   return RolloutWorld(options).Run();
 }
 
-// Guards against bad versions that are sent more than the limit, or complete.
-TEST_CASE("bad versions stay within the limit while leaders are lost") {
+// Guards against bad versions that get more requests than the limit, or whose
+// rollout is completed.
+TEST_CASE("bad versions stay within the limit despite leader changes") {
   for (RolloutWorldOptions options : kFleets) {
-    options.trouble = true;
+    options.daemon_faults = true;
     CAPTURE(options.routers);
     for (const VersionFault fault :
          {VersionFault::kFails, VersionFault::kSlow,
@@ -44,7 +45,7 @@
       CAPTURE(static_cast<int>(fault));
       for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
         CAPTURE(seed);
-        const RolloutReport report = Play(options, seed);
+        const RolloutReport report = RunWorld(options, seed);
         CHECK(report.state == rollout::RolloutState::kRolledBack);
         CHECK(ExposureOf(report) <= 1);
         CHECK(report.late_canary_requests == 0);
@@ -53,15 +54,15 @@
   }
 }
 
-// Guards against canaries that keep their share while no leader judges them.
+// Guards against canaries that keep their share while no leader evaluates them.
 TEST_CASE("without leased shares the limit does not hold") {
   for (const std::uint64_t seed : {265U, 303U}) {
     RolloutWorldOptions options = kFleets[1];
     options.fault = VersionFault::kFailsUnderLoad;
-    options.trouble = true;
-    CHECK(ExposureOf(Play(options, seed)) <= 1);
+    options.daemon_faults = true;
+    CHECK(ExposureOf(RunWorld(options, seed)) <= 1);
     options.ignores_share_lease = true;
-    CHECK(ExposureOf(Play(options, seed)) > 1);
+    CHECK(ExposureOf(RunWorld(options, seed)) > 1);
   }
 }
 
@@ -70,21 +71,21 @@
     CAPTURE(options.routers);
     for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
       CAPTURE(seed);
-      const RolloutReport report = Play(options, seed);
+      const RolloutReport report = RunWorld(options, seed);
       CHECK(report.state == rollout::RolloutState::kComplete);
       CHECK(report.decided_after <= options.duration);
     }
   }
 }
 
-// Guards against steps that wait for routers that are cut off or have
-// restarted, and for what a new leader learns again.
-TEST_CASE("good versions outlive the loss of leaders") {
+// Guards against steps that wait for partitioned or restarted routers, and
+// against a new leader that waits for reports it already has.
+TEST_CASE("good versions are complete despite leader changes") {
   RolloutWorldOptions options = kFleets[2];
-  options.trouble = true;
+  options.daemon_faults = true;
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     CAPTURE(seed);
-    CHECK(Play(options, seed).state == rollout::RolloutState::kComplete);
+    CHECK(RunWorld(options, seed).state == rollout::RolloutState::kComplete);
   }
 }
 
--- a/test/property/rollout/rollout_open_seeds_test.cc
+++ b/test/property/rollout/rollout_open_seeds_test.cc
@@ -1,6 +1,6 @@
-// Seeds that showed a fault once: bad versions beyond the limit while no leader
-// judged, good ones of services with few requests undone or late. The checks
-// are those of rollout_test.cc.
+// Seeds that failed before: bad versions exceeded the limit while there was no
+// leader to evaluate them, and good versions of services with few requests were
+// rolled back or completed late. The checks are those of rollout_test.cc.
 #include <doctest/doctest.h>
 
 #include "property/rollout/rollout_world.h"
@@ -21,23 +21,25 @@
   CHECK(report.decided_after <= options.duration);
 }
 
-TEST_CASE("leaders that are lost one after the other while canaries get more") {
-  CheckExposure(
-      {.seed = 363, .fault = VersionFault::kFailsOnOneRoute, .trouble = true});
+TEST_CASE("repeated leader changes while canaries get a larger share") {
+  CheckExposure({.seed = 363,
+                 .fault = VersionFault::kFailsOnOneRoute,
+                 .daemon_faults = true});
   CheckExposure({.seed = 43,
                  .routers = 300,
                  .fault = VersionFault::kFailsOnOneRoute,
-                 .trouble = true});
+                 .daemon_faults = true});
   CheckExposure({.seed = 102,
                  .routers = 300,
                  .fault = VersionFault::kFailsUnderLoad,
-                 .trouble = true});
+                 .daemon_faults = true});
 }
 
 TEST_CASE("good versions of services with few requests") {
-  // Three pauses among 51 answers, two of them of the rarer route.
+  // Three of 51 answers are slow because of pauses, two of them on the rarer
+  // route.
   CheckCompleteInTime({.seed = 366, .requests_per_second = 20});
-  // The first canary answers after 11 s.
+  // The first canary answer comes after 11 s.
   CheckCompleteInTime({.seed = 945, .requests_per_second = 2});
 }
 
--- a/test/property/rollout/rollout_seeds_test.cc
+++ b/test/property/rollout/rollout_seeds_test.cc
@@ -1,5 +1,5 @@
-// Seeds that showed a fault once, of 1,000 played by hand for each kind; the
-// checks are those of rollout_test.cc.
+// Seeds that failed before: bad versions exceeded the limit, and good versions
+// were rolled back. The checks are those of rollout_test.cc.
 #include <doctest/doctest.h>
 
 #include <vector>
@@ -15,28 +15,28 @@
           kWorldExposure.slack);
 }
 
-TEST_CASE("a fault of one route that shows late in few answers") {
+TEST_CASE("a fault of one route that few answers show late") {
   CHECK(ExposureOf(
             RolloutWorld({.seed = 471, .fault = VersionFault::kFailsOnOneRoute})
                 .Run()) <= 1);
 }
 
-TEST_CASE("leaders that are lost once canaries get everything") {
+TEST_CASE("leader changes once canaries get all requests") {
   for (const std::uint64_t seed : {124U, 779U}) {
     CHECK(ExposureOf(RolloutWorld({.seed = seed,
                                    .fault = VersionFault::kFailsOnOneRoute,
-                                   .trouble = true})
+                                   .daemon_faults = true})
                          .Run()) <= 1);
   }
   for (const std::uint64_t seed : {511U, 788U}) {
     CHECK(ExposureOf(RolloutWorld({.seed = seed,
                                    .fault = VersionFault::kFailsUnderLoad,
-                                   .trouble = true})
+                                   .daemon_faults = true})
                          .Run()) <= 1);
   }
 }
 
-TEST_CASE("good versions that were undone") {
+TEST_CASE("good versions that were rolled back") {
   CHECK(RolloutWorld({.seed = 367, .requests_per_second = 2}).Run().state ==
         rollout::RolloutState::kComplete);
   for (const std::uint64_t seed : {110U, 237U, 425U, 899U}) {
--- a/test/property/rollout/rollout_test.cc
+++ b/test/property/rollout/rollout_test.cc
@@ -1,6 +1,7 @@
-// A bad version is sent no more than the exposure limit and is rolled back, and
-// a good one gets through, whatever fails meanwhile. By hand:
-// JUNIPERWAY_ROLLOUT_SEEDS=1000 JUNIPERWAY_ROLLOUT_ROUTERS=300.
+// A bad version gets no more requests than the exposure limit and is rolled
+// back, and a good version is completed, whatever daemons fail meanwhile. To
+// run more seeds or larger fleets, set JUNIPERWAY_ROLLOUT_SEEDS=1000 and
+// JUNIPERWAY_ROLLOUT_ROUTERS=300.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -14,9 +15,9 @@
 
 using rollout::RolloutState;
 
-std::uint64_t FromEnvironment(const char* name, std::uint64_t otherwise) {
+std::uint64_t EnvironmentOr(const char* name, std::uint64_t default_value) {
   const char* text = std::getenv(name);
-  return text == nullptr ? otherwise : std::strtoull(text, nullptr, 10);
+  return text == nullptr ? default_value : std::strtoull(text, nullptr, 10);
 }
 
 double AllowedExposure(const RolloutReport& report) {
@@ -28,15 +29,15 @@
   std::size_t complete = 0;
   std::size_t rolled_back = 0;
   std::size_t running = 0;
-  double worst_exposure = 0;
-  std::size_t most_bad = 0;
+  double maximum_exposure = 0;
+  std::size_t maximum_bad = 0;
   Duration latest{};
 };
 
-Totals Play(RolloutWorldOptions options) {
-  const std::uint64_t seeds = FromEnvironment("JUNIPERWAY_ROLLOUT_SEEDS", 20);
+Totals RunSeeds(RolloutWorldOptions options) {
+  const std::uint64_t seeds = EnvironmentOr("JUNIPERWAY_ROLLOUT_SEEDS", 20);
   options.routers =
-      FromEnvironment("JUNIPERWAY_ROLLOUT_ROUTERS", options.routers);
+      EnvironmentOr("JUNIPERWAY_ROLLOUT_ROUTERS", options.routers);
   Totals totals;
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
     CAPTURE(seed);
@@ -45,18 +46,19 @@
     totals.complete += report.state == RolloutState::kComplete ? 1 : 0;
     totals.rolled_back += report.state == RolloutState::kRolledBack ? 1 : 0;
     totals.running += report.state == RolloutState::kRunning ? 1 : 0;
-    totals.worst_exposure = std::max(
-        totals.worst_exposure,
+    totals.maximum_exposure = std::max(
+        totals.maximum_exposure,
         static_cast<double>(report.canary_requests) / AllowedExposure(report));
-    totals.most_bad =
-        std::max(totals.most_bad, report.canary_bad_before_decision);
+    totals.maximum_bad =
+        std::max(totals.maximum_bad, report.canary_bad_before_decision);
     totals.latest = std::max(totals.latest, report.decided_after);
     CHECK(report.late_canary_requests == 0);
   }
   MESSAGE("complete " << totals.complete << ", rolled back "
-                      << totals.rolled_back << ", worst exposure "
-                      << totals.worst_exposure << " of the limit, most bad "
-                      << totals.most_bad << ", decided after at most "
+                      << totals.rolled_back << ", maximum exposure "
+                      << totals.maximum_exposure
+                      << " of the limit, maximum bad canary answers "
+                      << totals.maximum_bad << ", decided after at most "
                       << ToSeconds(totals.latest) << " s");
   return totals;
 }
@@ -65,47 +67,47 @@
     VersionFault::kFails, VersionFault::kSlow, VersionFault::kFailsOnOneRoute,
     VersionFault::kFailsLater, VersionFault::kFailsUnderLoad};
 
-TEST_CASE("a good version is complete within its time") {
+TEST_CASE("a good version is complete within the rollout's duration") {
   for (const double rate : {2.0, 20.0, 100.0, 500.0}) {
     CAPTURE(rate);
-    const Totals totals = Play({.requests_per_second = rate});
+    const Totals totals = RunSeeds({.requests_per_second = rate});
     CHECK(totals.rolled_back == 0);
     CHECK(totals.running == 0);
     CHECK(totals.latest <= seconds(12));
   }
 }
 
-TEST_CASE("a version is not undone for what hits both alike") {
-  const Totals totals = Play({.fault = VersionFault::kBothFail});
+TEST_CASE("a fault of both versions causes no rollback") {
+  const Totals totals = RunSeeds({.fault = VersionFault::kBothFail});
   CHECK(totals.rolled_back == 0);
 }
 
-TEST_CASE("a bad version is undone before it met more than the limit") {
+TEST_CASE("a bad version is rolled back within the exposure limit") {
   for (const VersionFault fault : kFaults) {
     CAPTURE(static_cast<int>(fault));
-    const Totals totals = Play({.fault = fault});
+    const Totals totals = RunSeeds({.fault = fault});
     CHECK(totals.complete == 0);
     CHECK(totals.running == 0);
-    CHECK(totals.worst_exposure <= 1);
-    CHECK(totals.most_bad <= 50);
+    CHECK(totals.maximum_exposure <= 1);
+    CHECK(totals.maximum_bad <= 50);
   }
 }
 
 TEST_CASE("the limit holds while routers and leaders fail") {
   for (const VersionFault fault : kFaults) {
     CAPTURE(static_cast<int>(fault));
-    const Totals totals = Play({.fault = fault, .trouble = true});
+    const Totals totals = RunSeeds({.fault = fault, .daemon_faults = true});
     CHECK(totals.complete == 0);
-    CHECK(totals.worst_exposure <= 1);
+    CHECK(totals.maximum_exposure <= 1);
   }
 }
 
 TEST_CASE("the limit holds in a fleet of many routers") {
   for (const VersionFault fault : {VersionFault::kFails, VersionFault::kSlow}) {
     const Totals totals =
-        Play({.routers = 300, .fault = fault, .trouble = true});
+        RunSeeds({.routers = 300, .fault = fault, .daemon_faults = true});
     CHECK(totals.complete == 0);
-    CHECK(totals.worst_exposure <= 1);
+    CHECK(totals.maximum_exposure <= 1);
   }
 }
 
--- a/test/unit/observation/observation_log_test.cc
+++ b/test/unit/observation/observation_log_test.cc
@@ -1,4 +1,4 @@
-// What one router tells of back ends, and how often.
+// What one router reports about backends, and how often.
 #include "common/observation/observation_log.h"
 
 #include <doctest/doctest.h>
@@ -9,20 +9,20 @@
 constexpr MonotonicTime kStart{seconds(100)};
 constexpr std::size_t kAll = 100;
 
-TEST_CASE("a router is one witness of a back end, however often it asks") {
+TEST_CASE("a router reports a backend once for any number of attempts") {
   ObservationLog log;
   for (int attempt = 0; attempt < 50; ++attempt) {
     log.OnFailed(7, kStart + attempt * milliseconds(100));
     log.OnAnswered(7, kStart + attempt * milliseconds(100));
   }
-  const BackendObservations told = log.Take(kAll, kStart);
-  REQUIRE(told.size() == 2);
-  CHECK(told[0] == BackendObservation{.backend = 7, .failed = 1});
-  CHECK(told[1] == BackendObservation{.backend = 7, .answered = 1});
+  const BackendObservations reported = log.Take(kAll, kStart);
+  REQUIRE(reported.size() == 2);
+  CHECK(reported[0] == BackendObservation{.backend = 7, .failed = 1});
+  CHECK(reported[1] == BackendObservation{.backend = 7, .answered = 1});
   CHECK_FALSE(log.has_news());
 }
 
-TEST_CASE("what goes on failing is told again once it fades") {
+TEST_CASE("a backend that keeps failing is reported again after kMemory") {
   ObservationLog log;
   log.OnFailed(7, kStart);
   log.OnFailed(7, kStart + kMemory - microseconds(1));
@@ -31,7 +31,7 @@
   CHECK(log.Take(kAll, kStart + kMemory).size() == 1);
 }
 
-TEST_CASE("what does not fit into one report comes with the next") {
+TEST_CASE("observations beyond the maximum come with the next report") {
   ObservationLog log;
   for (BackendHash backend = 0; backend < 5; ++backend) {
     log.OnFailed(backend, kStart);
--- a/test/unit/observation/observation_relay_test.cc
+++ b/test/unit/observation/observation_relay_test.cc
@@ -1,4 +1,4 @@
-// What control machines pass on of their daemons' observations, counted.
+// How many observations control nodes forward from their daemons.
 #include "common/observation/observation_relay.h"
 
 #include <doctest/doctest.h>
@@ -8,39 +8,39 @@
 namespace juniperway::observation {
 namespace {
 
-TEST_CASE("what is told grows with back ends that fail, not with routers") {
-  constexpr std::size_t kMachines = 24;
+TEST_CASE("digests grow with the failing backends, not with routers") {
+  constexpr std::size_t kControlNodes = 24;
   constexpr BackendHash kFailing = 150;
   for (const std::size_t routers : {100U, 300U, 1000U}) {
     CAPTURE(routers);
-    std::vector<ObservationRelay> machines(kMachines);
+    std::vector<ObservationRelay> relays(kControlNodes);
     for (std::size_t router = 0; router < routers; ++router) {
       BackendObservations report;
       for (BackendHash backend = 0; backend < kFailing; ++backend) {
         report.push_back({.backend = backend, .failed = 1});
       }
-      machines[router % kMachines].OnReport(report);
+      relays[router % kControlNodes].OnReport(report);
     }
     std::vector<BackendObservations> digests;
-    digests.reserve(kMachines);
-    for (ObservationRelay& machine : machines) {
-      digests.push_back(machine.TakeForMachines());
+    digests.reserve(kControlNodes);
+    for (ObservationRelay& relay : relays) {
+      digests.push_back(relay.TakeForMachines());
       CHECK(digests.back().size() == kFailing);
     }
-    for (std::size_t machine = 0; machine < kMachines; ++machine) {
-      for (std::size_t other = 0; other < kMachines; ++other) {
-        if (other != machine) {
-          machines[machine].OnDigest(digests[other]);
+    for (std::size_t receiver = 0; receiver < kControlNodes; ++receiver) {
+      for (std::size_t sender = 0; sender < kControlNodes; ++sender) {
+        if (sender != receiver) {
+          relays[receiver].OnDigest(digests[sender]);
         }
       }
-      CHECK(machines[machine].TakeForDaemons().size() == kFailing);
-      // A digest is not passed on to other machines again.
-      CHECK_FALSE(machines[machine].has_news());
+      CHECK(relays[receiver].TakeForDaemons().size() == kFailing);
+      // A control node does not forward a digest to other control nodes.
+      CHECK_FALSE(relays[receiver].has_news());
     }
   }
 }
 
-TEST_CASE("a digest is bounded, and what does not fit is not lost") {
+TEST_CASE("a digest is bounded, and the next ones hold the rest") {
   ObservationRelay relay;
   BackendObservations report;
   for (BackendHash backend = 0; backend < 3 * kMostEntries; ++backend) {
@@ -54,7 +54,7 @@
   CHECK(relay.TakeForDaemons().empty());
 }
 
-TEST_CASE("counts of one back end add up and end at the most") {
+TEST_CASE("counts of one backend add up and saturate") {
   ObservationQueue queue;
   for (int router = 0; router < 300; ++router) {
     queue.Add({.backend = 7, .failed = 1, .answered = 0});
--- a/test/unit/observation/shared_failures_test.cc
+++ b/test/unit/observation/shared_failures_test.cc
@@ -1,4 +1,4 @@
-// When a back end is suspected from what other routers tell.
+// When a router suspects a backend because of other routers' reports.
 #include "common/observation/shared_failures.h"
 
 #include <doctest/doctest.h>
@@ -13,7 +13,7 @@
 constexpr MonotonicTime kStart{seconds(100)};
 constexpr BackendHash kBackend = 7;
 
-TEST_CASE("what one router tells weighs less and is forgotten sooner") {
+TEST_CASE("one router's report weighs less and expires sooner") {
   SharedFailures failures(1);
   failures.Add({.backend = kBackend, .failed = 1}, kStart);
   CHECK(failures.SuspicionOf(kBackend, kStart) == 0.5);
@@ -25,7 +25,7 @@
   CHECK(failures.SuspicionOf(kBackend + 1, kStart + seconds(15)) == 0);
 }
 
-TEST_CASE("routers do not forget a back end all at once") {
+TEST_CASE("routers do not clear a suspicion all at once") {
   std::vector<int> suspecting(10);
   for (std::uint64_t router = 0; router < 1000; ++router) {
     SharedFailures failures(router);
@@ -38,12 +38,12 @@
   CHECK(suspecting.front() == 1000);
   CHECK(suspecting.back() == 0);
   for (std::size_t second = 1; second < suspecting.size(); ++second) {
-    // A tenth a second would be even.
+    // An even decrease would be a tenth per second.
     CHECK(suspecting[second - 1] - suspecting[second] <= 250);
   }
 }
 
-TEST_CASE("answers clear a back end that failed") {
+TEST_CASE("answers clear the suspicion of a backend") {
   SharedFailures failures(1);
   failures.Add({.backend = kBackend, .failed = 4}, kStart);
   failures.Add({.backend = kBackend, .answered = 4}, kStart);
@@ -52,7 +52,7 @@
   CHECK(failures.SuspicionOf(kBackend, kStart) == 0);
 }
 
-TEST_CASE("nothing is kept of back ends without failures") {
+TEST_CASE("backends without failures are not stored") {
   SharedFailures failures(1);
   failures.Add({.backend = kBackend, .answered = 9}, kStart);
   CHECK(failures.size() == 0);
@@ -63,7 +63,7 @@
   CHECK_FALSE(failures.IsKnown(kBackend));
 }
 
-TEST_CASE("observations of a back end that is not known do no harm") {
+TEST_CASE("observations of other backends cause no suspicion") {
   SharedFailures failures(1);
   for (BackendHash backend = 0; backend < 1000; ++backend) {
     failures.Add({.backend = backend, .failed = 255}, kStart);
--- a/test/unit/rollout/answer_tally_test.cc
+++ b/test/unit/rollout/answer_tally_test.cc
@@ -1,4 +1,4 @@
-// What a router counts of attempts, and what it tells the leader.
+// Counting of attempts on a router, and its reports to the leader.
 #include "common/rollout/answer_tally.h"
 
 #include <doctest/doctest.h>
@@ -7,7 +7,7 @@
 namespace {
 
 const AnswerGroup kCanaries{.service = "s", .route = "r", .canary = true};
-const AnswerGroup kOthers{.service = "s", .route = "r", .canary = false};
+const AnswerGroup kBaseline{.service = "s", .route = "r", .canary = false};
 
 TEST_CASE("latencies fall into steps of a half octave") {
   CHECK(LatencyStepOf(Duration(0)) == 0);
@@ -18,17 +18,17 @@
   CHECK(LatencyStepOf(seconds(1000)) == kLatencySteps - 1);
 }
 
-TEST_CASE("nothing is counted without a roll-out") {
+TEST_CASE("nothing is counted without a rollout") {
   AnswerTally tally;
   tally.Count(kCanaries, {.failed = true});
   CHECK(tally.MakeReport().empty());
   CHECK_FALSE(tally.has_news());
 }
 
-TEST_CASE("a report holds what changed, canaries first, as totals") {
+TEST_CASE("a report holds the changed groups as totals, canaries first") {
   AnswerTally tally;
   tally.SetRollouts({{"s", 7}});
-  tally.Count(kOthers, {.latency = milliseconds(1)});
+  tally.Count(kBaseline, {.latency = milliseconds(1)});
   CHECK_FALSE(tally.has_news());
   tally.Count(kCanaries, {.failed = true});
   tally.Count(kCanaries, {.timed = false});
@@ -50,7 +50,7 @@
   CHECK(again[0].counts.failed == 2);
 }
 
-TEST_CASE("a report is bounded, and the rest follows") {
+TEST_CASE("a report is bounded, and the next ones hold the rest") {
   AnswerTally tally;
   std::map<std::string, RolloutNumber> rollouts;
   constexpr std::size_t kServices = 40;
@@ -61,16 +61,16 @@
   for (const auto& [service, number] : rollouts) {
     tally.Count({.service = service, .route = "r", .canary = false}, {});
   }
-  std::size_t told = 0;
+  std::size_t reported = 0;
   for (int reports = 0; reports < 3; ++reports) {
     const auto report = tally.MakeReport();
-    CHECK(report.size() <= AnswerTally::kMaximumReported);
-    told += report.size();
+    CHECK(report.size() <= AnswerTally::kMaximumReportedGroups);
+    reported += report.size();
   }
-  CHECK(told == kServices);
+  CHECK(reported == kServices);
 }
 
-TEST_CASE("another roll-out of the service starts from zero") {
+TEST_CASE("a new rollout of the service counts from zero") {
   AnswerTally tally;
   tally.SetRollouts({{"s", 7}});
   tally.Count(kCanaries, {.failed = true});
--- a/test/unit/rollout/canary_allowance_test.cc
+++ b/test/unit/rollout/canary_allowance_test.cc
@@ -1,4 +1,4 @@
-// Which requests go to canaries, however many routers share them.
+// The share of requests that goes to canaries, for any number of routers.
 #include "common/rollout/canary_allowance.h"
 
 #include <doctest/doctest.h>
@@ -9,7 +9,7 @@
 namespace juniperway::rollout {
 namespace {
 
-// Requests of 10,000 that go to canaries, spread over this many routers.
+// Returns how many of 10,000 requests, spread over the routers, go to canaries.
 std::size_t CanaryRequests(std::size_t routers, std::uint32_t permille) {
   std::mt19937_64 random(routers);
   std::vector<CanaryAllowance> allowances(routers);
@@ -27,22 +27,22 @@
   return sent;
 }
 
-TEST_CASE("canaries get their share, whatever the number of routers") {
+TEST_CASE("canaries get their share for any number of routers") {
   for (const std::size_t routers : {1U, 60U, 1'000U, 6'600U}) {
     CAPTURE(routers);
-    // 750 on average, 26 of a standard deviation.
+    // The mean is 750, the standard deviation 26.
     const std::size_t sent = CanaryRequests(routers, 75);
     CHECK(sent > 620);
     CHECK(sent < 880);
   }
 }
 
-TEST_CASE("nothing and everything are exact") {
+TEST_CASE("shares of zero and of one are exact") {
   CHECK(CanaryRequests(60, 0) == 0);
   CHECK(CanaryRequests(60, kWholePermille) == 10'000);
 }
 
-// Of 1,000 requests of one router at this time.
+// Returns how many of 1,000 requests of one router go to canaries at `now`.
 std::size_t CanaryRequestsAt(CanaryAllowance allowance, MonotonicTime now) {
   std::size_t sent = 0;
   for (std::uint64_t random = 0; random < kWholePermille; ++random) {
@@ -52,8 +52,9 @@
   return sent;
 }
 
-// Guards against canaries that keep all requests while nobody judges them.
-TEST_CASE("a share above the base share lasts while a leader renews it") {
+// Guards against canaries that keep a large share while no leader evaluates
+// them.
+TEST_CASE("a share above the base share ends with its lease") {
   const MonotonicTime end{seconds(10)};
   CanaryAllowance allowance;
   allowance.SetShare(300, 75);
@@ -61,7 +62,7 @@
   allowance.Renew(end);
   CHECK(CanaryRequestsAt(allowance, end - milliseconds(1)) == 300);
   CHECK(CanaryRequestsAt(allowance, end) == 75);
-  // An answer that comes late does not shorten the lease.
+  // A heartbeat answer that arrives late does not shorten the lease.
   allowance.Renew(end - seconds(1));
   CHECK(CanaryRequestsAt(allowance, end - milliseconds(1)) == 300);
 }
--- a/test/unit/rollout/rollout_judge_test.cc
+++ b/test/unit/rollout/rollout_judge_test.cc
@@ -1,4 +1,4 @@
-// What the leader makes of reports, phase by phase.
+// The leader's evaluation of routers' reports in each phase.
 #include "common/rollout/rollout_judge.h"
 
 #include <doctest/doctest.h>
@@ -16,9 +16,9 @@
   return report;
 }
 
-// Five routers report usual answers of the other version and slow ones of
-// canaries.
-bool IsUndone(RolloutPhase phase) {
+// Whether a rollout is rolled back when five routers report typical latencies
+// of the baseline version and slow answers of canaries.
+bool IsRolledBack(RolloutPhase phase) {
   Rollouts rollouts;
   Rollout& rollout = rollouts[kService];
   rollout.number = 1;
@@ -47,16 +47,16 @@
          steps.front().step.state == RolloutState::kRolledBack;
 }
 
-TEST_CASE("slow answers undo a version while the other one gets requests") {
-  CHECK(IsUndone(RolloutPhase::kObserving));
-  CHECK(IsUndone(RolloutPhase::kWidening));
-  CHECK(IsUndone(RolloutPhase::kFull));
-  // Nothing shows then how long the other version would take.
-  CHECK_FALSE(IsUndone(RolloutPhase::kReplacing));
+TEST_CASE("slow canaries are rolled back while the baseline gets requests") {
+  CHECK(IsRolledBack(RolloutPhase::kObserving));
+  CHECK(IsRolledBack(RolloutPhase::kWidening));
+  CHECK(IsRolledBack(RolloutPhase::kFull));
+  // In this phase the baseline version gets no requests to compare with.
+  CHECK_FALSE(IsRolledBack(RolloutPhase::kReplacing));
 }
 
-// The leader takes a step of this phase while this part of the routers knows
-// it.
+// Whether the leader takes the step after this phase while this share of the
+// routers has confirmed the phase.
 bool TakesStep(RolloutPhase phase, double confirmed) {
   Rollouts rollouts;
   Rollout& rollout = rollouts[kService];
@@ -78,10 +78,10 @@
               .empty();
 }
 
-TEST_CASE("nine in ten routers are enough for a step, but not for the last") {
+TEST_CASE("nine in ten routers allow each step except the last one") {
   CHECK_FALSE(TakesStep(RolloutPhase::kFull, 0.85));
   CHECK(TakesStep(RolloutPhase::kFull, 0.95));
-  // The replaced back ends would stop while a router still uses them.
+  // Otherwise the replaced backends would stop while a router still uses them.
   CHECK_FALSE(TakesStep(RolloutPhase::kReplacing, 0.95));
   CHECK(TakesStep(RolloutPhase::kReplacing, 1));
 }
--- a/test/unit/rollout/rollout_plan_test.cc
+++ b/test/unit/rollout/rollout_plan_test.cc
@@ -1,4 +1,4 @@
-// When a roll-out goes on, ends well or is rolled back.
+// When a rollout enters its next phase, is complete or is rolled back.
 #include "common/rollout/rollout_plan.h"
 
 #include <doctest/doctest.h>
@@ -19,20 +19,20 @@
 
 RolloutFacts FactsAt(Duration elapsed) {
   return {.elapsed = elapsed,
-          .watched = elapsed,
-          .in_phase = seconds(1),
+          .evaluated_for = elapsed,
+          .time_in_phase = seconds(1),
           .canary_answers = 40,
-          .other_answers = 500,
-          .canaries = 3,
-          .known = true};
+          .baseline_answers = 500,
+          .canary_backends = 3,
+          .change_confirmed = true};
 }
 
-TEST_CASE("three quarters of the limit's share are spent while observing") {
+TEST_CASE("observing uses three quarters of the limit's share") {
   CHECK(ObservingShare(kLimit) == 75);
   CHECK(ObservingShare({.share = 0, .slack = 0}) == 0);
 }
 
-TEST_CASE("a good version goes from phase to phase and is complete") {
+TEST_CASE("a good version passes through all phases and is complete") {
   auto rollout = MakeRollout(RolloutPhase::kObserving);
   CHECK_FALSE(NextStep(rollout, FactsAt(seconds(5)), kLimit));
   auto step = NextStep(rollout, FactsAt(milliseconds(5500)), kLimit);
@@ -51,46 +51,46 @@
   CHECK(step->phase == RolloutPhase::kReplacing);
   CHECK(step->state == RolloutState::kRunning);
   rollout.phase = step->phase;
-  // What the replaced versions work on has time to end.
+  // Requests in flight at the replaced versions have time to finish.
   CHECK_FALSE(NextStep(rollout, FactsAt(milliseconds(10100)), kLimit));
   RolloutFacts drained = FactsAt(milliseconds(10800));
-  drained.in_phase = milliseconds(1500);
+  drained.time_in_phase = milliseconds(1500);
   step = NextStep(rollout, drained, kLimit);
   REQUIRE(step);
   CHECK(step->state == RolloutState::kComplete);
 }
 
-TEST_CASE("no phase begins before the one before is known") {
+TEST_CASE("no phase begins before the previous one is confirmed") {
   for (const auto phase : {RolloutPhase::kObserving, RolloutPhase::kWidening,
                            RolloutPhase::kFull, RolloutPhase::kReplacing}) {
     RolloutFacts facts = FactsAt(seconds(11));
-    facts.known = false;
-    facts.in_phase = Duration(0);
+    facts.change_confirmed = false;
+    facts.time_in_phase = Duration(0);
     CHECK_FALSE(NextStep(MakeRollout(phase), facts, kLimit));
   }
 }
 
-TEST_CASE("a new leader goes on only once every router has reported to it") {
+TEST_CASE("a new leader waits for reports before it takes a step") {
   RolloutFacts facts = FactsAt(milliseconds(5500));
-  facts.watched = milliseconds(1400);
+  facts.evaluated_for = milliseconds(1400);
   const auto rollout = MakeRollout(RolloutPhase::kObserving);
   CHECK_FALSE(NextStep(rollout, facts, kLimit));
-  facts.watched = milliseconds(1500);
+  facts.evaluated_for = milliseconds(1500);
   CHECK(NextStep(rollout, facts, kLimit));
 }
 
-TEST_CASE("a new leader goes on as soon as most routers have reported to it") {
+TEST_CASE("a new leader takes a step once most routers have reported to it") {
   RolloutFacts facts = FactsAt(milliseconds(5500));
-  facts.watched = milliseconds(300);
-  facts.heard = true;
+  facts.evaluated_for = milliseconds(300);
+  facts.most_reported = true;
   CHECK(NextStep(MakeRollout(RolloutPhase::kObserving), facts, kLimit));
 }
 
-TEST_CASE("a new leader takes up a phase that has brought answers") {
+TEST_CASE("a new leader counts the time of a phase that has brought answers") {
   Rollout rollout = MakeRollout(RolloutPhase::kWidening);
   rollout.answers_before_phase = 20;
   RolloutFacts facts = FactsAt(seconds(8));
-  facts.in_phase = milliseconds(100);
+  facts.time_in_phase = milliseconds(100);
   CHECK_FALSE(NextStep(rollout, facts, kLimit));
   facts.since_phase_began = seconds(1);
   CHECK(NextStep(rollout, facts, kLimit));
@@ -98,7 +98,7 @@
   CHECK_FALSE(NextStep(rollout, facts, kLimit));
 }
 
-TEST_CASE("a share above the base share is renewed by a leader that knows") {
+TEST_CASE("a leader renews a share only with complete and good reports") {
   Rollout rollout = MakeRollout(RolloutPhase::kWidening);
   rollout.base_share_permille = 75;
   rollout.share_permille = 75;
@@ -106,16 +106,16 @@
   CHECK_FALSE(MayRenewShare(rollout, facts));
   rollout.share_permille = 300;
   CHECK(MayRenewShare(rollout, facts));
-  facts.suspicion = kSuspicious;
+  facts.relative_score = kMaximumScoreForStep;
   CHECK_FALSE(MayRenewShare(rollout, facts));
-  facts.suspicion = 0;
-  facts.watched = milliseconds(100);
+  facts.relative_score = 0;
+  facts.evaluated_for = milliseconds(100);
   CHECK_FALSE(MayRenewShare(rollout, facts));
-  facts.heard = true;
+  facts.most_reported = true;
   CHECK(MayRenewShare(rollout, facts));
 }
 
-TEST_CASE("replaced versions end at once when no router uses them") {
+TEST_CASE("the rollout is complete once no router uses the replaced versions") {
   RolloutFacts facts = FactsAt(milliseconds(10'100));
   const auto rollout = MakeRollout(RolloutPhase::kReplacing);
   CHECK_FALSE(NextStep(rollout, facts, kLimit));
@@ -125,50 +125,50 @@
   CHECK(step->state == RolloutState::kComplete);
 }
 
-TEST_CASE("a version that answers speak for is late, and not undone") {
+TEST_CASE("a version with good answers may be late") {
   const auto rollout = MakeRollout(RolloutPhase::kWidening);
   RolloutFacts facts = FactsAt(milliseconds(11'500));
-  facts.known = false;
+  facts.change_confirmed = false;
   CHECK_FALSE(NextStep(rollout, facts, kLimit));
-  facts.suspicion = kSuspiciousBeforeFull;
+  facts.relative_score = kMaximumScoreBeforeFull;
   CHECK(NextStep(rollout, facts, kLimit));
-  facts.suspicion = 0;
+  facts.relative_score = 0;
   facts.elapsed = seconds(18);
   const auto step = NextStep(rollout, facts, kLimit);
   REQUIRE(step);
   CHECK(step->state == RolloutState::kRolledBack);
 }
 
-TEST_CASE("nothing goes on in doubt, or before a phase has brought answers") {
+TEST_CASE("a high score or a short phase delays the next step") {
   RolloutFacts facts = FactsAt(seconds(8));
   const auto rollout = MakeRollout(RolloutPhase::kWidening);
   CHECK(NextStep(rollout, facts, kLimit));
-  facts.suspicion = kSuspicious;
+  facts.relative_score = kMaximumScoreForStep;
   CHECK_FALSE(NextStep(rollout, facts, kLimit));
-  facts.suspicion = 0;
-  facts.in_phase = milliseconds(900);
+  facts.relative_score = 0;
+  facts.time_in_phase = milliseconds(900);
   CHECK_FALSE(NextStep(rollout, facts, kLimit));
 }
 
-TEST_CASE("canaries get everything only while hardly anything speaks against") {
+TEST_CASE("canaries get nearly all requests only with a low score") {
   RolloutFacts facts = FactsAt(seconds(8));
-  facts.suspicion = kSuspiciousBeforeFull;
+  facts.relative_score = kMaximumScoreBeforeFull;
   CHECK(NextStep(MakeRollout(RolloutPhase::kObserving), facts, kLimit));
   CHECK_FALSE(NextStep(MakeRollout(RolloutPhase::kWidening), facts, kLimit));
 }
 
-TEST_CASE("one answer of few requests is enough where all would do no harm") {
+TEST_CASE("late in the rollout one answer is enough within the limit") {
   const auto rollout = MakeRollout(RolloutPhase::kFull);
   RolloutFacts facts = FactsAt(milliseconds(10'300));
   facts.canary_answers = 1;
-  facts.other_answers = 19;
+  facts.baseline_answers = 19;
   const auto step = NextStep(rollout, facts, kLimit);
   REQUIRE(step);
   CHECK(step->phase == RolloutPhase::kReplacing);
   facts.canary_answers = 0;
   CHECK_FALSE(NextStep(rollout, facts, kLimit));
   facts.canary_answers = 1;
-  facts.other_answers = 10'000;
+  facts.baseline_answers = 10'000;
   CHECK_FALSE(NextStep(rollout, facts, {.share = 0.001, .slack = 5}));
 }
 
@@ -184,9 +184,9 @@
   }
 }
 
-TEST_CASE("a version that nobody could judge is rolled back in time") {
+TEST_CASE("a version that could not be evaluated is rolled back") {
   RolloutFacts facts = FactsAt(seconds(6));
-  facts.canaries = 0;
+  facts.canary_backends = 0;
   facts.canary_answers = 0;
   const auto rollout = MakeRollout(RolloutPhase::kObserving);
   CHECK_FALSE(NextStep(rollout, facts, kLimit));
@@ -194,19 +194,20 @@
   const auto step = NextStep(rollout, facts, kLimit);
   REQUIRE(step);
   CHECK(step->state == RolloutState::kRolledBack);
-  CHECK(step->reason == "it could not be judged in time");
+  CHECK(step->reason == "the canaries could not be evaluated in time");
 }
 
-TEST_CASE("few requests are no reason to wait, many without answers are") {
+TEST_CASE("the rollout waits for answers only if there are requests") {
   const auto rollout = MakeRollout(RolloutPhase::kObserving);
   RolloutFacts facts = FactsAt(seconds(6));
   facts.canary_answers = 0;
-  facts.other_answers = 30;
+  facts.baseline_answers = 30;
   CHECK(NextStep(rollout, facts, kLimit));
-  // 500 a second: what finding a fault takes is more than is left.
-  facts.other_answers = 3000;
+  // At 500 requests per second, finding a fault costs more requests than the
+  // limit has left.
+  facts.baseline_answers = 3000;
   facts.canary_answers = 19;
-  facts.canaries = 1;
+  facts.canary_backends = 1;
   CHECK(NextStep(rollout, facts, kLimit));
   facts.canary_answers = 10;
   ExposureLimit small = kLimit;
@@ -215,10 +216,10 @@
   CHECK_FALSE(NextStep(rollout, facts, small));
 }
 
-TEST_CASE("of a service without requests no more can be known") {
+TEST_CASE("a service without requests needs no answers") {
   RolloutFacts facts = FactsAt(seconds(10));
   facts.canary_answers = 0;
-  facts.other_answers = 0;
+  facts.baseline_answers = 0;
   CHECK(NextStep(MakeRollout(RolloutPhase::kFull), facts, kLimit));
 }
 
--- a/test/unit/rollout/version_comparison_test.cc
+++ b/test/unit/rollout/version_comparison_test.cc
@@ -1,4 +1,4 @@
-// Whether canaries do worse than what they are to replace.
+// Whether canaries are found to do worse than the baseline version.
 #include "common/rollout/version_comparison.h"
 
 #include <doctest/doctest.h>
@@ -11,9 +11,9 @@
 
 constexpr std::size_t kRouters = 10;
 
-// All answers are judged this long after they were reported.
-constexpr VersionComparison::JudgingRule JudgeAfter(Duration wait) {
-  return {.failures_after = wait, .latencies_after = wait};
+// Evaluates all answers this long after they were reported.
+constexpr VersionComparison::EvaluationRule EvaluateAfter(Duration delay) {
+  return {.failures_after = delay, .latencies_after = delay};
 }
 
 // Routers that report each answer at once.
@@ -29,7 +29,7 @@
     }
     comparison.OnReport("router-" + std::to_string(router), 1,
                         {.group = group, .rollout = 1, .counts = counts}, now);
-    comparison.Judge(now, JudgeAfter(Duration(0)));
+    comparison.Evaluate(now, EvaluateAfter(Duration(0)));
     now += milliseconds(10);
   }
 
@@ -38,21 +38,22 @@
   MonotonicTime now{seconds(10)};
 };
 
-// Answers of both versions, one of the canaries for each nine of the others.
-// @return how many answers of canaries came until they were found worse; -1:
-//   they were not, in so many answers of theirs.
-int AnswersUntilWorse(double canary_failing, double other_failing,
-                      Duration canary_latency, std::uint64_t seed,
-                      int answers) {
+// Simulates answers of both versions, nine of the baseline for each one of the
+// canaries.
+// @return the number of canary answers until they were found worse; -1 if they
+//   were not within `answers`.
+int AnswersUntilWorse(double canary_failure_share,
+                      double baseline_failure_share, Duration canary_latency,
+                      std::uint64_t seed, int answers) {
   Reports reports;
   std::mt19937_64 random(seed);
   std::uniform_real_distribution<double> draw(0, 1);
   for (int answer = 1; answer <= answers; ++answer) {
     for (int other = 0; other < 9; ++other) {
-      reports.Add(random() % kRouters, false, draw(random) < other_failing,
-                  milliseconds(13));
+      reports.Add(random() % kRouters, false,
+                  draw(random) < baseline_failure_share, milliseconds(13));
     }
-    reports.Add(random() % kRouters, true, draw(random) < canary_failing,
+    reports.Add(random() % kRouters, true, draw(random) < canary_failure_share,
                 canary_latency);
     if (reports.comparison.IsWorse(kRouters)) {
       return answer;
@@ -61,17 +62,17 @@
   return -1;
 }
 
-TEST_CASE("of 200 roll-outs of 500 good answers none is undone") {
-  for (const double failing : {0.0, 0.02, 0.2, 0.5}) {
-    CAPTURE(failing);
+TEST_CASE("of 200 rollouts with 500 good answers none is rolled back") {
+  for (const double failure_share : {0.0, 0.02, 0.2, 0.5}) {
+    CAPTURE(failure_share);
     for (std::uint64_t seed = 1; seed <= 50; ++seed) {
-      CHECK(AnswersUntilWorse(failing, failing, milliseconds(13), seed, 500) ==
-            -1);
+      CHECK(AnswersUntilWorse(failure_share, failure_share, milliseconds(13),
+                              seed, 500) == -1);
     }
   }
 }
 
-TEST_CASE("failures are found within 50 bad answers, mostly within few") {
+TEST_CASE("failures are found within 150 answers, mostly within 50") {
   int within_50 = 0;
   for (std::uint64_t seed = 1; seed <= 100; ++seed) {
     const int answers =
@@ -79,7 +80,7 @@
     CHECK(answers > 0);
     within_50 += answers <= 50 ? 1 : 0;
   }
-  // 0.5 x 0.33 x 150 bad answers are 50.
+  // The 150 answers contain about 0.33 x 150 = 50 bad ones.
   CHECK(within_50 >= 95);
 }
 
@@ -89,7 +90,7 @@
   CHECK(answers <= 10);
 }
 
-TEST_CASE("five bad answers are not enough, of one router never enough") {
+TEST_CASE("neither four bad answers nor one router give a verdict") {
   Reports reports;
   for (int i = 0; i < 100; ++i) {
     reports.Add(i % kRouters, false, false, milliseconds(13));
@@ -98,19 +99,19 @@
     reports.Add(i, true, true, {});
   }
   CHECK_FALSE(reports.comparison.IsWorse(kRouters));
-  Reports lone;
+  Reports one_router;
   for (int i = 0; i < 100; ++i) {
-    lone.Add(i % kRouters, false, false, milliseconds(13));
+    one_router.Add(i % kRouters, false, false, milliseconds(13));
   }
   for (int i = 0; i < 500; ++i) {
-    lone.Add(0, true, true, {});
+    one_router.Add(0, true, true, {});
   }
-  CHECK_FALSE(lone.comparison.IsWorse(kRouters));
-  // In a fleet of one there is no other witness.
-  CHECK(lone.comparison.IsWorse(1));
+  CHECK_FALSE(one_router.comparison.IsWorse(kRouters));
+  // A fleet of one router has no other witness.
+  CHECK(one_router.comparison.IsWorse(1));
 }
 
-TEST_CASE("a fault of one route is found among answers of others") {
+TEST_CASE("a fault of one route is found among answers of other routes") {
   Reports reports;
   int answers = 0;
   while (!reports.comparison.IsWorse(kRouters) && answers < 200) {
@@ -125,46 +126,48 @@
   CHECK(answers < 120);
 }
 
-// Seven canaries' answers fail within half a second, reported at once; of the
-// others' answers in the same time a third fails, reported half a second later.
-bool IsWorseAfter(Duration wait) {
+// Seven canary answers fail within half a second and are reported at once. A
+// third of the baseline's answers in the same time fail too, but are reported
+// half a second later.
+bool IsWorseAfter(Duration delay) {
   VersionComparison comparison;
   MonotonicTime now{seconds(10)};
-  AnswerReport others{.group = {.service = "s", .route = "r", .canary = false},
-                      .rollout = 1,
-                      .counts = {}};
+  AnswerReport baseline{
+      .group = {.service = "s", .route = "r", .canary = false},
+      .rollout = 1,
+      .counts = {}};
   const std::size_t step = LatencyStepOf(milliseconds(13));
-  others.counts.timed.at(step) = 90;
-  comparison.OnReport("router-0", 1, others, now);
+  baseline.counts.timed.at(step) = 90;
+  comparison.OnReport("router-0", 1, baseline, now);
   for (std::size_t router = 0; router < 7; ++router) {
-    AnswerReport canary = others;
+    AnswerReport canary = baseline;
     canary.group.canary = true;
     canary.counts = {};
     canary.counts.failed = 1;
     now += milliseconds(70);
     comparison.OnReport("router-" + std::to_string(router), 1, canary, now);
-    comparison.Judge(now, JudgeAfter(wait));
+    comparison.Evaluate(now, EvaluateAfter(delay));
   }
   now += milliseconds(500);
-  others.counts.failed = 30;
-  others.counts.timed.at(step) += 60;
-  comparison.OnReport("router-0", 1, others, now);
+  baseline.counts.failed = 30;
+  baseline.counts.timed.at(step) += 60;
+  comparison.OnReport("router-0", 1, baseline, now);
   for (int later = 0; later < 10; ++later) {
     now += milliseconds(100);
-    comparison.Judge(now, JudgeAfter(wait));
+    comparison.Evaluate(now, EvaluateAfter(delay));
   }
   return comparison.IsWorse(kRouters);
 }
 
-TEST_CASE("a fault of both is not held against canaries that show it first") {
+TEST_CASE("a fault of both versions that canaries show first is no verdict") {
   CHECK(IsWorseAfter(Duration(0)));
   CHECK_FALSE(IsWorseAfter(seconds(1)));
 }
 
-// Answers of both versions at 450 and 50 a second, a third of them slow for one
-// second; each router reports every 0.2 s.
-// @param others_slow the other version's answers are slow then as well.
-bool IsWorseInBurst(bool others_slow) {
+// Simulates 450 canary and 50 baseline answers per second, a third of the
+// canaries' slow for one second; each router reports every 0.2 s.
+// @param baseline_slow whether the baseline's answers are slow then as well.
+bool IsWorseInBurst(bool baseline_slow) {
   VersionComparison comparison;
   std::mt19937_64 random(1);
   std::uniform_real_distribution<double> draw(0, 1);
@@ -176,7 +179,7 @@
     const bool canary = draw(random) < 0.9;
     const bool in_burst = tick >= 500 && tick < 1000;
     const bool slow =
-        in_burst && (canary || others_slow) && draw(random) < 0.33;
+        in_burst && (canary || baseline_slow) && draw(random) < 0.33;
     const AnswerGroup group{.service = "s", .route = "r", .canary = canary};
     ++totals[{router, group}].timed.at(
         LatencyStepOf(slow ? milliseconds(60) : milliseconds(13)));
@@ -189,9 +192,9 @@
         }
       }
     }
-    comparison.Judge(
-        now, {.latencies_after = VersionComparison::kMomentReportedWithin,
-              .same_moment = true});
+    comparison.Evaluate(
+        now, {.latencies_after = VersionComparison::kTimeSlotReportDelay,
+              .within_time_slots = true});
     if (comparison.IsWorse(kRouters)) {
       return true;
     }
@@ -199,14 +202,14 @@
   return false;
 }
 
-// Guards against a good version that is undone because its machines, or the
-// routers', were busy for a moment once it got most requests.
-TEST_CASE("a burst that slows both versions is not held against canaries") {
-  CHECK_FALSE(IsWorseInBurst(/*others_slow=*/true));
-  CHECK(IsWorseInBurst(/*others_slow=*/false));
+// Guards against a good version that is rolled back because its machines, or
+// the routers' machines, are briefly busy while it gets most requests.
+TEST_CASE("a burst of slow answers of both versions is no verdict") {
+  CHECK_FALSE(IsWorseInBurst(/*baseline_slow=*/true));
+  CHECK(IsWorseInBurst(/*baseline_slow=*/false));
 }
 
-TEST_CASE("slow answers without others of the same moment say nothing") {
+TEST_CASE("slow answers without baseline answers at the time do not count") {
   VersionComparison comparison;
   MonotonicTime now{seconds(10)};
   AnswerReport report;
@@ -221,12 +224,12 @@
     comparison.OnReport("router-" + std::to_string(router), 1, report, now);
   }
   now += seconds(1);
-  comparison.Judge(now,
-                   {.latencies_after = milliseconds(500), .same_moment = true});
-  CHECK(comparison.Suspicion() == 0);
+  comparison.Evaluate(
+      now, {.latencies_after = milliseconds(500), .within_time_slots = true});
+  CHECK(comparison.RelativeScore() == 0);
 }
 
-TEST_CASE("a router that restarts counts from zero and loses nothing") {
+TEST_CASE("counts of a restarted router add to its previous ones") {
   VersionComparison comparison;
   AnswerReport report;
   report.group = {.service = "s", .route = "r", .canary = true};
@@ -234,11 +237,11 @@
   const MonotonicTime now{seconds(1)};
   comparison.OnReport("a", 1, report, now);
   comparison.OnReport("a", 1, report, now);
-  comparison.Judge(now, JudgeAfter(Duration(0)));
+  comparison.Evaluate(now, EvaluateAfter(Duration(0)));
   CHECK(comparison.Describe().canary_bad == 5);
   report.counts.failed = 2;
   comparison.OnReport("a", 2, report, now);
-  comparison.Judge(now, JudgeAfter(Duration(0)));
+  comparison.Evaluate(now, EvaluateAfter(Duration(0)));
   CHECK(comparison.Describe().canary_bad == 7);
 }
 
