--- a/source/common/rollout/rollout_judge.cc
+++ b/source/common/rollout/rollout_judge.cc
@@ -111,12 +111,12 @@
     Evaluation& evaluation =
         EvaluationOf(service, rollout, fleet.wall_time, now);
     const RouterProgress progress = fleet.progress(rollout.revision);
-    const bool confirmed = IsConfirmed(rollout.phase, progress.confirmed);
-    if (evaluation.phase != rollout.phase || !confirmed) {
+    const bool phase_confirmed = IsConfirmed(rollout.phase, progress.confirmed);
+    if (evaluation.phase != rollout.phase || !phase_confirmed) {
       evaluation.phase = rollout.phase;
       evaluation.phase_confirmed_since = MonotonicTime::max();
     }
-    if (confirmed) {
+    if (phase_confirmed) {
       evaluation.phase_confirmed_since =
           std::min(evaluation.phase_confirmed_since, now);
     }
@@ -131,7 +131,7 @@
             evaluation.elapsed_before + (now - evaluation.evaluated_since),
         .evaluated_for = now - evaluation.evaluated_since,
         .most_reported = evaluation.most_reported,
-        .time_in_phase = confirmed
+        .time_in_phase = phase_confirmed
                              ? Duration(now - evaluation.phase_confirmed_since)
                              : Duration(0),
         .since_phase_began =
@@ -143,7 +143,7 @@
         .baseline_answers = evidence.other_answers,
         .canary_backends =
             fleet.count_backends(service, rollout.target_version),
-        .change_confirmed = confirmed,
+        .change_confirmed = phase_confirmed,
         .released = progress.released >= 1};
     evaluation.renews_share = MayRenewShare(rollout, facts);
     if (auto step = NextStep(rollout, facts, limit_)) {
--- a/source/common/rollout/rollout_plan.cc
+++ b/source/common/rollout/rollout_plan.cc
@@ -57,8 +57,10 @@
   return {.phase = phase, .share_permille = share_permille, .reason = {}};
 }
 
-bool IsPast(const Rollout& rollout, const RolloutFacts& facts, double share) {
-  return ToSeconds(facts.elapsed) >= share * ToSeconds(rollout.duration);
+bool IsPast(const Rollout& rollout, const RolloutFacts& facts,
+            double duration_share) {
+  return ToSeconds(facts.elapsed) >=
+         duration_share * ToSeconds(rollout.duration);
 }
 
 // Whether the canaries have too few answers although the service had enough
@@ -124,8 +126,9 @@
 }
 
 Duration BoundByDurationShare(const Rollout& rollout, Duration maximum,
-                              double share) {
-  return std::min(maximum, FromSeconds(ToSeconds(rollout.duration) * share));
+                              double duration_share) {
+  return std::min(maximum,
+                  FromSeconds(ToSeconds(rollout.duration) * duration_share));
 }
 
 // Whether this leader has received the counts of the answers so far.
