--- a/source/common/rollout/rollout_judge.h
+++ b/source/common/rollout/rollout_judge.h
@@ -40,7 +40,7 @@
  public:
   explicit RolloutJudge(const ExposureLimit& limit) : limit_(limit) {}
 
-  // Discards all state when this control node loses the leadership.
+  // Discards all state when this control node stops being the leader.
   void Stop();
 
   void OnReport(const std::string& router, std::uint64_t incarnation,
--- a/test/property/rollout/rollout_world.cc
+++ b/test/property/rollout/rollout_world.cc
@@ -25,7 +25,7 @@
 constexpr double kPauseShare = 0.02;
 constexpr Duration kPause = milliseconds(200);
 constexpr double kUnderLoadPermille = 200;
-// As in session::SessionTiming.
+// The intervals equal those of session::SessionTiming.
 constexpr Duration kHeartbeatInterval = seconds(1);
 constexpr Duration kUnrenewedInterval = milliseconds(400);
 constexpr Duration kCanaryReportInterval = milliseconds(200);
--- a/test/unit/observation/observation_relay_test.cc
+++ b/test/unit/observation/observation_relay_test.cc
@@ -23,8 +23,8 @@
     }
     std::vector<BackendObservations> digests;
     digests.reserve(kControlNodes);
-    for (ObservationRelay& sender : relays) {
-      digests.push_back(sender.TakeForMachines());
+    for (ObservationRelay& control_node : relays) {
+      digests.push_back(control_node.TakeForMachines());
       CHECK(digests.back().size() == kFailing);
     }
     for (std::size_t receiver = 0; receiver < kControlNodes; ++receiver) {
