--- a/source/common/routing/admission_limit.cc
+++ b/source/common/routing/admission_limit.cc
@@ -5,7 +5,8 @@
 namespace juniperway::routing {
 namespace {
 
-// The limit grows only while at least this share of it is used.
+// The limit grows only while at least this share of it is in use. Otherwise
+// the served queries are no evidence that a higher limit is sustainable.
 constexpr double kUsedShare = 0.5;
 
 }  // namespace
--- a/source/common/routing/admission_limit.h
+++ b/source/common/routing/admission_limit.h
@@ -1,11 +1,13 @@
-// How many queries of one service this front runs at a time. Without it,
-// overload makes each shard shed other queries' parts, and hardly any query
-// ends whole although every back end is busy. Pure.
+// Concurrency limit for the queries that one front runs for one service. During
+// overload without a limit, each shard sheds subqueries of different queries,
+// so that hardly any query gets complete coverage although every backend is
+// busy.
 //
-// The limit falls by a fixed share when several of the last queries ended short
-// because busy back ends shed their parts, and grows by one for each limit's
-// worth of queries that did not. Queries that began before the last fall say
-// nothing new. A single shed now and then is chance, not overload.
+// The limit is multiplied by kDecrease when several recent queries ended with
+// too little coverage because saturated backends shed their subqueries. The
+// limit grows by one per `limit` served queries. Queries that began before the
+// last decrease do not count again, since they ran under the old limit.
+// Occasional sheds do not lower the limit.
 #pragma once
 
 #include <cstddef>
@@ -14,28 +16,36 @@
 
 namespace juniperway::routing {
 
+// Owned by a ServiceState, one per service and front. Counts queries; reads no
+// clock, callers pass the time.
 class AdmissionLimit {
  public:
-  // Queries that always may run, so that the end of an overload is noticed.
+  // Lower bound of the limit, in queries: some queries must run for the front
+  // to observe the end of an overload.
   static constexpr double kLowest = 4;
-  // Until the first overload, and the most it grows to.
+  // Initial value and upper bound of the limit, in queries.
   static constexpr double kHighest = 4096;
+  // Factor by which an overload lowers the limit.
   static constexpr double kDecrease = 0.8;
-  // It falls when this many of so many queries were overloaded.
+  // The limit decreases when kOverloadedToFall of at most kWindow ended queries
+  // were overloaded.
   static constexpr int kOverloadedToFall = 3;
   static constexpr int kWindow = 50;
 
+  // Whether one more query may start.
   bool HasRoom() const { return static_cast<double>(running_) < limit_; }
   void OnBegin() { ++running_; }
 
   enum class End {
-    kServed,      // As much as the service asks for.
-    kOverloaded,  // Short of it, as busy back ends shed parts.
-    kOther,       // Says nothing of load: abandoned, refused for its claim, …
+    kServed,      // The coverage met the service's minimum.
+    kOverloaded,  // Too little coverage because saturated backends shed.
+    kOther,       // No evidence about load, for example abandoned queries.
   };
+  // Ends one query that OnBegin counted.
   // @param began when OnBegin was called for the query.
   void OnEnd(End end, MonotonicTime began, MonotonicTime now);
 
+  // Limit and count of the running queries.
   double limit() const { return limit_; }
   std::size_t running() const { return running_; }
 
@@ -45,7 +55,8 @@
   double limit_ = kHighest;
   std::size_t running_ = 0;
   MonotonicTime last_decrease_{};
-  // Since the last fall or the last full window.
+  // Queries that ended since the last decrease or the last full window, and
+  // the overloaded ones among them.
   int ended_ = 0;
   int overloaded_ = 0;
 };
--- a/source/common/routing/attempt_log.h
+++ b/source/common/routing/attempt_log.h
@@ -1,6 +1,6 @@
-// Every subquery that was sent for one query and what became of it: the
-// evidence for the execution state, and the filter for results that are late,
-// duplicate or foreign.
+// Log of every attempt (one subquery sent to one backend) of one query. The
+// query run derives the execution state from the log, and uses the log to
+// discard late, duplicate and foreign results.
 #pragma once
 
 #include <cstdint>
@@ -15,9 +15,10 @@
 enum class AttemptStatus : std::uint8_t {
   kOutstanding,
   kAnswered,
-  kGivenUp,  // Cancelled, or its answer no longer counts.
+  kGivenUp,  // The front cancelled the attempt or discards its result.
 };
 
+// One subquery that the front planned or sent to one backend.
 struct Attempt {
   // Index of the partition in the query.
   std::uint32_t partition = 0;
@@ -25,19 +26,22 @@
   OwnerId owner = 0;
   MonotonicTime sent_at{};
   AttemptStatus status = AttemptStatus::kOutstanding;
-  // It tests a back end whose breaker is open.
+  // The attempt probes a backend whose circuit breaker is open.
   bool probe = false;
+  // The backend certainly did not start the subquery.
   bool provably_not_run = false;
 };
 
-// What to do with a result.
+// Whether a result belongs to an outstanding attempt; all but kAccept are
+// discarded.
 enum class ReplyVerdict {
   kAccept,
-  kLate,       // The attempt was given up.
-  kDuplicate,  // The attempt was answered before.
-  kForeign,    // No such attempt, or another owner's.
+  kLate,       // The front abandoned the attempt before.
+  kDuplicate,  // The attempt already has a result.
+  kForeign,    // The attempt does not exist or belongs to another owner.
 };
 
+// Owned by a QueryRun, one per query. Ids are dense and start at 0.
 class AttemptLog {
  public:
   AttemptId Add(const Attempt& attempt);
@@ -45,14 +49,16 @@
   const Attempt& Get(AttemptId id) const { return attempts_[id]; }
   AttemptId size() const { return static_cast<AttemptId>(attempts_.size()); }
 
-  // A second result for a late attempt is a duplicate.
+  // Classifies a result that `owner` sent for attempt `id`. The first result
+  // for an abandoned attempt is late, each further one is a duplicate.
   ReplyVerdict Judge(OwnerId owner, AttemptId id);
 
   void MarkProvablyNotRun(AttemptId id);
 
-  // kNotRun when every attempt, if any, was provably not run.
+  // @return kNotRun when every attempt was provably not run or there is none,
+  //   else kMayHaveRun.
   ExecutionState Execution() const;
-  // Attempts that may have cost a back end something.
+  // Number of attempts that are not provably not run.
   AttemptId CountThatMayHaveRun() const { return size() - provably_not_run_; }
 
  private:
--- a/source/common/routing/backend_states.cc
+++ b/source/common/routing/backend_states.cc
@@ -8,17 +8,18 @@
 
 // Weight of one latency sample in the moving average.
 constexpr double kSampleWeight = 0.2;
-// An average nobody renewed moves back to the prior in about this time, so
-// that a replica that was slow is tried again.
+// Without new samples the average decays to the prior with this time constant,
+// so that a replica that was slow gets subqueries again.
 constexpr Duration kLatencyMemory = seconds(10);
-// Each failure in a row makes a replica look this much slower; the penalty
-// fades, so that one that may not be ejected (the bound) is still tried last.
+// Penalty on the expected latency for each failure in a row. A failing replica
+// that the bound on ejections keeps in selection is thereby chosen last. The
+// penalty decays.
 constexpr double kFailurePenaltyUs = 20000;
 constexpr Duration kFailureMemory = seconds(5);
-// A load hint loses its weight evenly over this time.
+// The weight of a reported load falls linearly to 0 over this time.
 constexpr Duration kLoadMemory = milliseconds(500);
-// Expected latency before anything was measured: a short search plus the
-// usual round trip of the distance.
+// Expected latency before the first sample: a short search plus the typical
+// round-trip time to that locality.
 constexpr double kPriorSameZoneUs = 2000;
 constexpr double kPriorSameRegionUs = 4000;
 constexpr double kPriorOtherRegionUs = 28000;
@@ -39,7 +40,7 @@
   return static_cast<double>(part.count()) / static_cast<double>(whole.count());
 }
 
-// 1 for what is fresh, falling to 0 with age.
+// Exponential decay: 1 at age 0, falling towards 0.
 double Faded(Duration age, Duration memory) {
   return std::exp(-Ratio(age, memory));
 }
@@ -86,7 +87,8 @@
   ++state.failures_in_a_row;
   state.failed_at = now;
   if (state.open) {
-    // Results of subqueries sent before it opened say nothing new.
+    // Failures of subqueries sent before the breaker opened do not extend the
+    // backoff; only a failed probe does.
     if (state.probing) {
       Open(state, now);
     }
--- a/source/common/routing/backend_states.h
+++ b/source/common/routing/backend_states.h
@@ -1,9 +1,11 @@
-// What this front has learned of each back end: load, latency, breaker and
-// drains. Numbers come from owners' results and the front's own sends. Pure.
+// What one front has observed of each backend: load, latency, circuit breaker
+// and drain. The observations come from owners' results and from the attempts
+// that the front itself sends.
 //
-// Breaker: kFailuresToOpen failures in a row open it; after a back-off
-// (doubling to kLongestOpen) one probe is let through, whose success closes it
-// and whose failure opens it again.
+// kFailuresToOpen failures in a row open the breaker of a backend. After a
+// backoff, which doubles with each opening up to kLongestOpen, the breaker
+// admits one probe. A successful probe closes the breaker, a failed one opens
+// it again.
 #pragma once
 
 #include <cstdint>
@@ -15,42 +17,56 @@
 
 namespace juniperway::routing {
 
+// Owned by a FrontState, shared by all its queries. Reads no clock: callers
+// pass the time.
 class BackendStates {
  public:
   static constexpr std::uint32_t kFailuresToOpen = 5;
   static constexpr Duration kShortestOpen = seconds(1);
   static constexpr Duration kLongestOpen = seconds(30);
-  // How long a drain that a result told of is believed; the view has it then.
+  // How long a drain that a result reported is used. The fleet view contains
+  // the drain by then.
   static constexpr Duration kDrainMemory = seconds(10);
 
-  // --- What happened ---
+  // --- Observations ---
+  // A subquery was sent and is outstanding.
   void OnSent(BackendId backend);
-  // The subquery is answered, lost or cancelled: no longer outstanding.
+  // The subquery was answered, lost or cancelled and is no longer outstanding.
   void OnDone(BackendId backend);
+  // The owner reported `load` subqueries, running and queued, on a backend with
+  // `slots` slots.
   void OnLoad(BackendId backend, std::uint32_t load, std::uint32_t slots,
               MonotonicTime now);
+  // Adds a latency sample.
   void OnLatency(BackendId backend, Duration latency, MonotonicTime now);
+  // The backend returned rows: closes its breaker.
   void OnSuccess(BackendId backend);
-  // The back end failed (lost, unreachable or silent too long).
+  // The backend failed: the subquery was lost, or the backend was unreachable
+  // or unresponsive.
   void OnFailure(BackendId backend, MonotonicTime now);
+  // The backend refused a subquery because it is draining.
   void OnDraining(BackendId backend, MonotonicTime now);
-  // A probe was sent to a back end whose breaker let one through.
+  // The front sent a probe that the backend's breaker admitted.
   void OnProbe(BackendId backend);
-  // That probe was given up without an outcome; another may go.
+  // The probe ended without a verdict on the backend. The breaker may admit
+  // another one.
   void OnProbeAbandoned(BackendId backend);
 
-  // --- What to make of it ---
+  // --- Queries ---
+  // kOpen: the backend takes subqueries. kProbe: its breaker admits one probe.
+  // kEjected: the backend gets no subqueries.
   enum class Admission { kOpen, kProbe, kEjected };
-  // kOpen: takes work. kProbe: its breaker lets one probe through.
   Admission AdmissionOf(BackendId backend, MonotonicTime now) const;
+  // Whether a result reported a drain within the last kDrainMemory.
   bool IsDraining(BackendId backend, MonotonicTime now) const;
-  // When the breaker lets a probe through; orders ejected back ends.
+  // When the breaker admits the next probe; 0 if the breaker never opened.
   MonotonicTime EjectedUntil(BackendId backend) const;
-  // Expected time of one more subquery, in microseconds: smaller is better.
+  // Expected time of one more subquery under the present load, in microseconds.
   double Cost(const ReplicaRoute& replica, MonotonicTime now) const;
   // Expected latency without the load, in microseconds.
   double Latency(const ReplicaRoute& replica, MonotonicTime now) const;
-  // Running and waiting subqueries, as far as known here.
+  // Estimated running and queued subqueries on the backend: the greater of the
+  // front's own outstanding ones and the aged report of the owner.
   double Load(BackendId backend, MonotonicTime now) const;
 
  private:
@@ -59,7 +75,7 @@
     std::uint32_t load = 0;
     std::uint32_t slots = 0;
     MonotonicTime load_at{};
-    // 0: nothing measured yet.
+    // Moving average; 0 before the first sample.
     double latency_us = 0;
     MonotonicTime latency_at{};
     std::uint32_t failures_in_a_row = 0;
--- a/source/common/routing/coverage.h
+++ b/source/common/routing/coverage.h
@@ -1,4 +1,4 @@
-// Turns what became of each partition into the coverage that an answer names.
+// Computes the coverage of an answer from the outcome of each partition.
 #pragma once
 
 #include <optional>
@@ -9,14 +9,15 @@
 
 namespace juniperway::routing {
 
+// Outcome of one partition's key range.
 struct RangeOutcome {
   KeyRange range;
-  // Nothing: searched.
+  // Empty when the range was searched.
   std::optional<MissingReason> missing;
 };
 
-// Neighbours with the same outcome become one range.
-// @param outcomes sorted, disjoint, together the asked range.
+// Merges adjacent ranges that have the same outcome.
+// @param outcomes sorted, disjoint, together the requested range.
 Coverage MakeCoverage(std::span<const RangeOutcome> outcomes);
 
 }  // namespace juniperway::routing
--- a/source/common/routing/front_state.h
+++ b/source/common/routing/front_state.h
@@ -1,5 +1,4 @@
-// Decision state that all queries of one front share. Single-threaded; holds no
-// clock and no I/O, so that a simulation may own many.
+// State that all queries of one front share for their decisions.
 #pragma once
 
 #include <cstdint>
@@ -21,7 +20,7 @@
 
 namespace juniperway::routing {
 
-// What a service's queries learn and spend together.
+// State that all queries of one service share.
 struct ServiceState {
   LatencyTracker latency;
   RetryBudget budget;
@@ -33,23 +32,26 @@
   std::uint64_t first_subqueries = 0;
   std::uint64_t hedges = 0;
   std::uint64_t retries = 0;
-  // Sent again after a refusal that cost the back end nothing.
+  // Subqueries sent again after a refusal that cost the backend no work.
   std::uint64_t reroutes = 0;
-  // Sent again because the query started over on a newer snapshot.
+  // Subqueries sent because a query restarted on a newer snapshot.
   std::uint64_t restarted_subqueries = 0;
+  // Restarts of whole queries.
   std::uint64_t restarts = 0;
-  // Hedges and retries not sent for want of budget.
+  // Hedges and retries not sent because the retry budget was empty.
   std::uint64_t budget_refusals = 0;
-  // Queries refused as their service's admission limit was reached.
+  // Queries refused because their service's admission limit was reached.
   std::uint64_t admission_refusals = 0;
-  // Results that were dropped.
+  // Discarded results; see ReplyVerdict.
   std::uint64_t late_results = 0;
   std::uint64_t duplicate_results = 0;
   std::uint64_t foreign_results = 0;
-  // Rows outside their subquery's range, dropped here or by the owner.
+  // Rows outside their subquery's range, dropped by this front or by the owner.
   std::uint64_t out_of_range_rows = 0;
 };
 
+// Owned by the front half of a gateway, one per front, and used from one
+// thread. Reads no clock and does no I/O, so that a simulation can hold many.
 class FrontState {
  public:
   FrontState(Place place, std::uint64_t random_seed,
@@ -58,11 +60,13 @@
     SetView(std::make_shared<const session::FleetView>());
   }
 
+  // Builds the routes of a new fleet view.
   void SetView(session::FleetViewPointer view) {
     routes = std::make_shared<RoutingTable>(std::move(view), routes.get(),
                                             place_, backend_names, owner_names);
   }
 
+  // Chooses a replica with the front's observations; see ReplicaSelector.
   std::optional<ReplicaChoice> Choose(const ReplicaRequest& request,
                                       MonotonicTime now) {
     return selector_.Choose(request, backends, owners, random, now);
@@ -70,7 +74,7 @@
 
   NameTable backend_names;
   NameTable owner_names;
-  // Never null. Replaced with each view.
+  // Never null. SetView replaces the table.
   std::shared_ptr<RoutingTable> routes;
   BackendStates backends;
   OwnerStates owners;
--- a/source/common/routing/latency_tracker.h
+++ b/source/common/routing/latency_tracker.h
@@ -1,8 +1,9 @@
-// Streaming quantiles of a service's subquery latency, for hedging. A
-// log-spaced histogram whose counts are halved now and then, so that old
-// samples fade. Each bucket is 5 % wide and a quantile answers the bucket's
-// geometric middle: the relative error of the value is at most 2.5 % between
-// kLowest and kHighest; outside, the value is clamped.
+// Streaming quantiles of a service's subquery latency, used for the hedge
+// delay. The tracker keeps a logarithmic histogram and halves all counts
+// whenever their sum reaches kFadeAt, so that old samples lose weight. Each
+// bucket is 5 % wide and a quantile is the geometric middle of its bucket: the
+// relative error is at most 2.5 % between kLowest and kHighest. Latencies
+// outside are clamped.
 #pragma once
 
 #include <array>
@@ -14,22 +15,23 @@
 
 namespace juniperway::routing {
 
+// Owned by a ServiceState, one per service and front.
 class LatencyTracker {
  public:
   static constexpr Duration kLowest = microseconds(50);
   static constexpr Duration kHighest = seconds(60);
-  // Below this many samples there is no quantile.
+  // Quantile returns nothing below this many samples.
   static constexpr std::uint64_t kMinimumSamples = 32;
-  // Counts are halved when their sum reaches this.
+  // Sum of the counts at which they are halved.
   static constexpr std::uint64_t kFadeAt = 8192;
 
-  // @param latency of an answered subquery, or how long a cancelled one had
-  //   been waited for (a lower bound: leaving it out would make the quantile
-  //   fall with each hedge that wins).
+  // @param latency of an answered subquery, or the time that the front had
+  //   waited for an abandoned one. The wait is a lower bound of the latency;
+  //   without such samples the quantile would fall with each hedge that wins.
   void Record(Duration latency);
 
   // @param quantile in [0, 1].
-  // @return nothing before kMinimumSamples.
+  // @return the latency, or nothing before kMinimumSamples.
   std::optional<Duration> Quantile(double quantile) const;
 
  private:
--- a/source/common/routing/name_table.h
+++ b/source/common/routing/name_table.h
@@ -1,6 +1,7 @@
-// Dense numbers for names (back ends, owners), so that per-query state lives in
-// vectors. A number stays valid for the life of the table; the table grows with
-// the names ever seen, not with restarts.
+// Maps names of backends or owners to dense ids, so that state per backend or
+// owner can be held in vectors. An id stays valid as long as the table. The
+// table grows with the number of distinct names; a restart under the same name
+// adds nothing.
 #pragma once
 
 #include <cstdint>
@@ -14,9 +15,10 @@
 using BackendId = std::uint32_t;
 using OwnerId = std::uint32_t;
 
+// Owned by a FrontState, one table for backends and one for owners.
 class NameTable {
  public:
-  // The number of `name`, given at first sight.
+  // Returns the id of `name`; assigns the next free id to a new name.
   std::uint32_t IdOf(std::string_view name) {
     const auto known = ids_.find(name);
     if (known != ids_.end()) {
@@ -32,7 +34,8 @@
   std::size_t size() const { return names_.size(); }
 
  private:
-  // A deque keeps its strings in place, so the keys of ids_ may point there.
+  // A deque does not move its strings when it grows, so the keys of ids_ may
+  // point to them.
   std::deque<std::string> names_;
   std::unordered_map<std::string_view, std::uint32_t> ids_;
 };
--- a/source/common/routing/owner_states.h
+++ b/source/common/routing/owner_states.h
@@ -1,5 +1,6 @@
-// Which owners this front cannot reach right now. Their back ends are asked
-// last until a connection stands again or the memory lapses.
+// Tracks which owners one front has lost its connection to. The replica
+// selector avoids their backends until the connection is established again or
+// kDownMemory has passed.
 #pragma once
 
 #include <vector>
@@ -9,8 +10,10 @@
 
 namespace juniperway::routing {
 
+// Owned by a FrontState, shared by all its queries. Callers pass the time.
 class OwnerStates {
  public:
+  // How long a lost connection counts against its owner.
   static constexpr Duration kDownMemory = seconds(1);
 
   void OnLost(OwnerId owner, MonotonicTime now) {
--- a/source/common/routing/ownership.h
+++ b/source/common/routing/ownership.h
@@ -1,7 +1,7 @@
-// Which gateway owns a back end: rendezvous hashing (highest random weight)
-// among the gateways of the back end's zone that are not leaving. Every daemon
-// with the same view computes the same owner, and a member that comes or goes
-// moves only the back ends it gains or had.
+// Assigns each backend to an owner gateway by rendezvous hashing (highest
+// random weight) among the gateways of the backend's zone that are not leaving.
+// Every daemon with the same view computes the same owner. When a gateway joins
+// or leaves, only the backends that it gains or had change their owner.
 #pragma once
 
 #include <map>
@@ -14,31 +14,32 @@
 
 namespace juniperway::routing {
 
-// Owner of `backend` among the gateways of `zone`. The pointer lives as long
-// as the view.
-// @return null when the zone has no gateway that may own.
+// Computes the owner of `backend` among the gateways of `zone`. The pointer is
+// valid as long as the view.
+// @return null when the zone has no gateway that may own backends.
 const session::Member* OwnerOf(const std::string& backend,
                                const std::string& zone,
                                const session::FleetView& view);
 
-// Owners of all back ends of one view, so that a query hashes nothing. Built
-// from the table of the view before: zones in which neither a gateway nor a
-// back end changed are shared with it.
+// Precomputed owners of all backends of one view, so that queries do not hash.
+// Each table is built from that of the previous view and shares with it the
+// zones in which neither a gateway nor a backend changed. Owned by a
+// RoutingTable; also used by the owner half of a gateway.
 class OwnershipTable {
  public:
   // @param previous the table of an earlier view, or null.
   explicit OwnershipTable(session::FleetViewPointer view,
                           const OwnershipTable* previous = nullptr);
 
-  // The pointer lives as long as the table.
-  // @return null when the back end is unknown or its zone has no gateway.
+  // The pointer is valid as long as the table.
+  // @return null when the backend is unknown or its zone has no gateway.
   const session::Member* OwnerOf(const std::string& backend) const;
 
-  // Names of the back ends that `daemon_id` owns, sorted.
+  // Names of the backends that `daemon_id` owns, sorted.
   std::vector<std::string> OwnedBy(const std::string& daemon_id) const;
 
-  // Names of the back ends, of this table's view, that have another owner here
-  // than in `previous`, or an owner in another place.
+  // Names of the backends of this table's view whose owner, or the region of
+  // the owner, differs from `previous`.
   std::vector<std::string> MovedSince(const OwnershipTable& previous) const;
 
   const session::FleetViewPointer& view() const { return view_; }
--- a/source/common/routing/query_run.cc
+++ b/source/common/routing/query_run.cc
@@ -1,5 +1,5 @@
-// Beginning and sending. Results: query_run_replies.cc; the end:
-// query_run_outcome.cc.
+// Starts a query and sends its subqueries. query_run_replies.cc processes the
+// results, query_run_outcome.cc ends the query.
 #include "common/routing/query_run.h"
 
 #include <glog/logging.h>
@@ -10,13 +10,14 @@
 namespace juniperway::routing {
 namespace {
 
-// Owners get this much less time than is left, so that what they say at the
-// end still arrives; never more than a tenth of the time.
+// Owners get this much less time than remains until the deadline, so that a
+// result sent at the end of that time still arrives. The margin is at most
+// 1 / kHopMarginShare of the remaining time.
 constexpr Duration kHopMargin = milliseconds(2);
 constexpr int kHopMarginShare = 10;
-// A hedge is not sent sooner than this, however fast the back ends are.
+// Lower bound of the hedge delay, also when the latency quantile is lower.
 constexpr Duration kShortestHedgeDelay = milliseconds(1);
-// When a service that serves no snapshot is worth asking again.
+// Retry-after for clients of a service that serves no snapshot.
 constexpr Duration kNoSnapshotRetryAfter = seconds(1);
 
 }  // namespace
@@ -31,7 +32,7 @@
   Actions actions;
   if (!Pin()) {
     const Error error{ErrorCode::kUnavailable, "",
-                      "the service serves no snapshot yet"};
+                      "the service does not serve an index snapshot yet"};
     actions.outcome = Refusal{error, ExecutionState::kNotRun,
                               Jittered(kNoSnapshotRetryAfter)};
     finished_ = true;
@@ -58,7 +59,8 @@
   routes_ = front_.routes;
   pinned_view_ = front_.routes->view_pointer();
   service_ = front_.routes->FindService(request_.service);
-  CHECK(service_ != nullptr) << "queries are admitted for known services";
+  CHECK(service_ != nullptr)
+      << "a query was admitted for a service that the view does not contain";
   pinned_ = front_.routes->Serving(request_.service);
   current_ = pinned_;
   if (pinned_ == nullptr) {
@@ -138,7 +140,8 @@
     return;
   }
   CancelAll(now, actions);
-  // What was sent in vain is extra work: it is owed to the budget.
+  // The attempts on the earlier snapshot are wasted work, which the retry
+  // budget is charged for.
   shared_.budget.Charge(attempts_.CountThatMayHaveRun() - charged_attempts_);
   charged_attempts_ = attempts_.CountThatMayHaveRun();
   ++restarts_;
@@ -161,7 +164,7 @@
   const ReplicaRoute& replica = choice->replica;
   const bool busy = front_.backends.Load(replica.backend, now) >= replica.slots;
   if (kind == SendKind::kHedge && busy) {
-    // It would only wait there, and push back others.
+    // The hedge would only queue there and delay other subqueries.
     return false;
   }
   if (!Pay(kind, now)) {
@@ -190,7 +193,7 @@
   auto choice = front_.Choose(request, now);
   const bool waited = partition.resend_at.has_value();
   if (!choice.has_value() && kind != SendKind::kHedge && waited) {
-    // After a back-off, one that was asked before may be asked again.
+    // After the resend delay, a backend may be chosen a second time.
     request.excluded = {};
     choice = front_.Choose(request, now);
   }
@@ -274,7 +277,7 @@
   Batch batch;
   batch.owner = owner;
   batch.index_version = pinned_->index_version;
-  // One more than asked for shows whether there are more.
+  // One more row than requested shows whether the answer is truncated.
   batch.row_limit = request_.row_limit + 1;
   batch.remaining = RemainingForOwner(now);
   actions.batches.push_back(std::move(batch));
--- a/source/common/routing/query_run.h
+++ b/source/common/routing/query_run.h
@@ -1,17 +1,18 @@
-// The life of one query as a pure state machine: pins a snapshot, splits the
-// asked range by its partitions, sends a subquery per partition, hedges,
-// retries, and ends with exactly one outcome. Time, results and losses come in
-// as calls; what to send, cancel and answer comes out as Actions.
+// State machine of one query. QueryRun pins a snapshot, splits the requested
+// range by the snapshot's partitions, sends one subquery per partition, hedges
+// and retries subqueries, and ends with exactly one outcome. Its caller passes
+// in time, results and connection losses, and carries out the returned Actions.
 //
-// - One snapshot: every subquery names the pinned version. When a partition is
-//   refused for it and no replica still holds it, the whole query starts over
-//   on the newer snapshot; rows of two versions never meet.
-// - Extra subqueries: hedges and retries pay from the service's RetryBudget. A
-//   re-route after a refusal that cost the back end nothing (not owner,
-//   draining, wrong snapshot, unreachable) is free, and bounded by
-//   kMaximumReroutes a partition.
-// - Not repeatable: no hedge, and a partition is sent again only when every
-//   earlier attempt at it was provably not run.
+// - Snapshot: every subquery names the pinned index version. When a backend
+//   refuses a subquery because of that version and no replica still holds the
+//   version, the whole query restarts on the newer snapshot. An answer never
+//   contains rows of two versions.
+// - Extra attempts: each hedge and retry takes a token from the service's
+//   RetryBudget. A reroute, after a refusal that cost the backend no work (not
+//   owner, draining, wrong snapshot, unreachable), takes no token and is
+//   bounded by kMaximumReroutes per partition.
+// - Queries that are not repeatable: QueryRun sends no hedges, and sends a
+//   partition again only when every earlier attempt was provably not run.
 #pragma once
 
 #include <cstdint>
@@ -26,53 +27,63 @@
 
 namespace juniperway::routing {
 
+// Owned by the front's query executor, one per query. Reads no clock and does
+// no I/O.
 class QueryRun {
  public:
-  // Re-routes of one partition, free ones.
+  // Maximum reroutes of one partition, which take no retry budget.
   static constexpr std::uint8_t kMaximumReroutes = 8;
-  // Retries of one partition, paid ones.
+  // Maximum retries of one partition, which take retry budget.
   static constexpr std::uint8_t kMaximumRetries = 3;
-  // Hedges of one partition.
+  // Maximum hedges of one partition.
   static constexpr std::uint8_t kMaximumHedges = 1;
-  // Times that a query starts over on a newer snapshot.
+  // Maximum restarts of one query on a newer snapshot.
   static constexpr std::uint8_t kMaximumRestarts = 3;
-  // With less time left than this, nothing new is sent.
+  // QueryRun sends nothing when less time than this remains.
   static constexpr Duration kShortestUsefulTime = microseconds(500);
 
   // @param front must outlive the run; its view must know the service.
   QueryRun(QueryRequest request, FrontState& front);
 
+  // Sends the first subqueries. Called once.
   Actions Start(MonotonicTime now);
-  // Results that `owner` sent; those that do not belong are dropped, counted.
+  // Processes results that `owner` sent. Late, duplicate and foreign results
+  // are counted and discarded.
   Actions OnReplies(OwnerId owner, std::vector<SubqueryReply> replies,
                     MonotonicTime now);
-  // The connection to `owner` ended with everything outstanding there.
+  // The connection to `owner` was lost, and with it all outstanding attempts
+  // there.
   Actions OnOwnerLost(OwnerId owner, OwnerLoss loss, MonotonicTime now);
-  // A batch of the last actions could not be sent: no byte of it left.
+  // The caller could not send a batch of the last actions: no byte of the batch
+  // left this process.
   Actions OnBatchUnsent(const Batch& batch, MonotonicTime now);
+  // Sends due hedges and retries, and ends the query at its deadline.
   Actions OnTimer(MonotonicTime now);
+  // The client disconnected: abandons the query.
   Actions OnCallerGone(MonotonicTime now);
 
-  // When OnTimer wants to be called; may be early, never late.
+  // When OnTimer must be called next. May be earlier than the next due action,
+  // never later.
   MonotonicTime next_timer() const { return next_timer_; }
   bool finished() const { return finished_; }
-  // What the end of the query, with `outcome`, says of the service's load.
+  // How the admission limit counts the end of the query with `outcome`.
   AdmissionLimit::End LoadSignal(const QueryOutcome& outcome) const;
   const QueryRequest& request() const { return request_; }
-  // Of the view that the query was admitted or restarted with.
+  // Revision of the view with which the query was admitted or last restarted.
   resources::Revision revision() const { return pinned_view_->revision; }
 
  private:
   enum class PartitionStatus : std::uint8_t { kPending, kSearched, kMissing };
   enum class SendKind : std::uint8_t { kFirst, kHedge, kRetry, kReroute };
 
+  // State of one partition of the requested range.
   struct PartitionState {
-    // Index in the pinned snapshot.
+    // Index of the partition in the pinned snapshot.
     std::uint32_t route_index = 0;
-    // Clipped to the asked range.
+    // Key range of the partition, clipped to the requested range.
     KeyRange range;
     PartitionStatus status = PartitionStatus::kPending;
-    // Why it is missing, or was refused last.
+    // Why the partition is missing, or was refused last.
     MissingReason reason = MissingReason::kDeadline;
     RowBlock block;
     std::vector<AttemptId> attempts;
@@ -80,17 +91,23 @@
     std::uint8_t hedges = 0;
     std::uint8_t retries = 0;
     std::uint8_t reroutes = 0;
-    // A back end whose slots were all taken refused or expired it.
+    // A backend without free slots shed the subquery or let it expire
+    // unstarted.
     bool shed_by_load = false;
     std::optional<MonotonicTime> hedge_at;
-    // Waits to be sent again, as a retry or a re-route.
+    // When to send the partition again, as `resend_kind`; empty when no resend
+    // is scheduled.
     std::optional<MonotonicTime> resend_at;
     SendKind resend_kind = SendKind::kReroute;
   };
 
-  // --- Beginning ---
+  // --- Start ---
+  // Takes over the front's newest routing table.
   void FollowView();
+  // Pins the snapshot that the service serves.
+  // @return false when the service serves no snapshot.
   bool Pin();
+  // Creates the partition states of the requested range.
   void Split();
   void SendFirsts(MonotonicTime now, Actions& actions);
   MissingReason WhyUnsent(const PartitionState& partition,
@@ -100,15 +117,22 @@
   bool RestartAllowed(MonotonicTime now) const;
 
   // --- Sending ---
+  // Chooses a replica and adds the subquery to `actions`.
+  // @return false when too little time, no replica or no budget remains.
   bool Send(PartitionState& partition, SendKind kind, MonotonicTime now,
             Actions& actions);
   std::optional<ReplicaChoice> Choose(const PartitionState& partition,
                                       SendKind kind, MonotonicTime now);
+  // @return the newest route of the partition, or null when the view no longer
+  //   has the pinned version with the same partition.
   const PartitionRoute* CurrentRoute(const PartitionState& partition) const;
+  // Counts the attempt and adds or takes its retry budget.
+  // @return false when the budget refuses the attempt.
   bool Pay(SendKind kind, MonotonicTime now);
   Batch& BatchFor(OwnerId owner, MonotonicTime now, Actions& actions);
   void Record(PartitionState& partition, const ReplicaChoice& choice,
               SendKind kind, MonotonicTime now, Actions& actions);
+  // Time until the deadline minus the margin for the result's way back.
   Duration RemainingForOwner(MonotonicTime now) const;
   void Hedge(PartitionState& partition, MonotonicTime now, Actions& actions);
   void Resend(PartitionState& partition, MonotonicTime now, Actions& actions);
@@ -128,6 +152,7 @@
   void TakeRows(PartitionState& partition, SubqueryReply& reply);
   void LearnFrom(const Attempt& attempt, const SubqueryReply& reply,
                  MonotonicTime now);
+  // Sends a failed partition to another replica, or schedules a resend.
   void SendAgain(PartitionState& partition, SendKind kind, MonotonicTime now,
                  Actions& actions);
   bool MaySendAgain(const PartitionState& partition, SendKind kind) const;
@@ -135,12 +160,16 @@
   void MarkMissing(PartitionState& partition, MissingReason reason);
 
   // --- End ---
+  // Restarts the query if that was requested, and ends it if its answer is due.
   void Settle(MonotonicTime now, Actions& actions);
   bool IsAnswerDue(MonotonicTime now) const;
   void Finish(MonotonicTime now, Actions& actions);
   void CancelAll(MonotonicTime now, Actions& actions);
+  // Removes the batches planned in this call, which have not left the process.
   void Unsend(Actions& actions);
   void GiveUp(AttemptId id, MonotonicTime now, Actions& actions);
+  // Records the wait for an attempt that ended without a result, and a failure
+  // of the backend if the wait was too long.
   void LearnFromSilence(const Attempt& attempt, MonotonicTime now);
   Answer MakeAnswer();
   Refusal MakeRefusal(MonotonicTime now);
@@ -153,8 +182,9 @@
   session::FleetViewPointer pinned_view_;
   const resources::Service* service_ = nullptr;
   SnapshotRoutePointer pinned_;
-  // The newest routing table and its routes of the pinned version: replicas
-  // follow the view while the partitions stay. Null: the version is gone.
+  // The newest routing table, and its routes of the pinned version (null when
+  // the view no longer has that version). The replicas change with the view
+  // while the partitions stay those of the pinned snapshot.
   std::shared_ptr<RoutingTable> routes_;
   SnapshotRoutePointer current_;
   KeyRange asked_;
@@ -163,15 +193,16 @@
   std::size_t pending_ = 0;
   Key searched_width_ = 0;
   std::uint8_t restarts_ = 0;
-  // Attempts of abandoned snapshots that the budget was charged for.
+  // Attempts of earlier snapshots that the retry budget was charged for.
   AttemptId charged_attempts_ = 0;
-  // A partition was refused for its snapshot and has no other replica.
+  // A partition could not be sent again, and either no replica holds the pinned
+  // version any more or the last attempt was refused for that version.
   bool restart_wanted_ = false;
   std::optional<Duration> hedge_delay_;
   Duration retry_after_hint_{};
   MonotonicTime next_timer_{};
   bool finished_ = false;
-  // Scratch space, kept to save allocations.
+  // Reused by each choice to avoid allocations.
   std::vector<BackendId> excluded_;
 };
 
--- a/source/common/routing/query_run_outcome.cc
+++ b/source/common/routing/query_run_outcome.cc
@@ -1,4 +1,5 @@
-// How a query ends: when an answer is due, what it covers, what is refused.
+// Ends a query: decides when the answer is due, cancels outstanding attempts,
+// and builds the answer or refusal.
 #include <algorithm>
 #include <string>
 #include <utility>
@@ -9,7 +10,8 @@
 namespace juniperway::routing {
 namespace {
 
-// When to come back after a refusal, where no back end told.
+// Minimum retry-after of a refusal, by its reason. A longer hint from an owner
+// takes precedence.
 constexpr Duration kShedRetryAfter = milliseconds(100);
 constexpr Duration kMovingRetryAfter = milliseconds(200);
 constexpr Duration kFailureRetryAfter = seconds(1);
@@ -93,7 +95,8 @@
   }
 }
 
-// What was planned in this very call has not left yet, and need not.
+// The batches planned during this call have not been sent, so that dropping
+// them needs no cancellation.
 void QueryRun::Unsend(Actions& actions) {
   for (const Batch& batch : actions.batches) {
     for (const PlannedSubquery& subquery : batch.subqueries) {
@@ -178,17 +181,17 @@
   refusal.execution = attempts_.Execution();
   if (partitions_.empty()) {
     refusal.error = {ErrorCode::kInvalidArgument, "range",
-                     "holds no key of the served snapshot"};
+                     "contains no key of the served index snapshot"};
     return refusal;
   }
-  // Partitions may differ; the first one's reason stands for all.
+  // The reasons may differ between partitions; the refusal names the first one.
   const MissingReason reason = partitions_.front().reason;
   const bool late =
       now >= request_.deadline || reason == MissingReason::kDeadline;
   refusal.error.code =
       late ? ErrorCode::kDeadlineExceeded : ErrorCode::kUnavailable;
   refusal.error.message =
-      "nothing was searched: " + std::string(MissingReasonName(reason));
+      "no partition was searched: " + std::string(MissingReasonName(reason));
   const Duration base = std::max(RetryAfterOf(reason), retry_after_hint_);
   refusal.retry_after = Jittered(base);
   return refusal;
--- a/source/common/routing/query_run_replies.cc
+++ b/source/common/routing/query_run_replies.cc
@@ -1,4 +1,4 @@
-// What results, losses and time do to a running query.
+// Processes results, connection losses and timers of a running query.
 #include <algorithm>
 #include <utility>
 
@@ -7,13 +7,15 @@
 namespace juniperway::routing {
 namespace {
 
-// Wait before a partition is sent again to a back end that was asked before:
-// doubles with each time, half of it again as jitter.
+// Delay before a partition is sent again to a backend that already had it. The
+// delay doubles with each retry or reroute of the partition; up to half of the
+// delay is added as jitter.
 constexpr Duration kShortestResendWait = milliseconds(5);
 constexpr Duration kLongestResendWait = milliseconds(200);
-// A back end counts as failed when it was silent for this many hedge delays.
+// An attempt that ends unanswered after this many hedge delays counts as a
+// failure of its backend.
 constexpr int kSilentHedgeDelays = 4;
-// An unanswered subquery is expected to take as long again.
+// Estimated latency of an unanswered attempt, as a multiple of the time waited.
 constexpr int kSilenceFactor = 2;
 
 bool IsProvablyNotRun(SubqueryOutcome outcome) {
@@ -238,7 +240,8 @@
   return actions;
 }
 
-// The owner failed, which says nothing of its back ends.
+// The owner failed, which is no evidence about its backends, so that no backend
+// failure is recorded.
 void QueryRun::LoseAttempt(AttemptId id, OwnerLoss loss, MonotonicTime now,
                            Actions& actions) {
   const Attempt attempt = attempts_.Get(id);
@@ -291,8 +294,10 @@
   });
 }
 
-// No other replica is left: a while later one asked before may do, unless it
-// refused for good (draining) or asking again would only add load (shed).
+// Called when no other replica can take the partition: schedules a resend,
+// which may go to a replica that already had the partition. Draining replicas
+// would refuse again, and a resend to replicas that shed would only add load,
+// so neither is sent again.
 void QueryRun::WaitToResend(PartitionState& partition, SendKind kind,
                             MonotonicTime now) {
   const bool pointless = partition.reason == MissingReason::kDraining ||
@@ -370,7 +375,7 @@
   if (Send(partition, SendKind::kHedge, now, actions)) {
     ++partition.hedges;
   } else if (hedge_delay_.has_value()) {
-    // Budget or a free replica may come.
+    // Retry budget or a replica with free slots may become available.
     partition.hedge_at = now + *hedge_delay_;
   }
 }
--- a/source/common/routing/query_types.h
+++ b/source/common/routing/query_types.h
@@ -1,4 +1,4 @@
-// What goes into and comes out of a QueryRun, as plain values.
+// Input and output values of a QueryRun.
 #pragma once
 
 #include <cstdint>
@@ -21,7 +21,7 @@
 
 using protocol::SubqueryOutcome;
 
-// Names one subquery sent for a query; never reused within the query.
+// Identifies one attempt of a query. An id is never reused within the query.
 using AttemptId = std::uint32_t;
 
 // An admitted query.
@@ -30,51 +30,55 @@
   std::string service;
   std::string request_class;
   std::string text;
-  // Nothing: every key of the snapshot. Clipped to the snapshot's extent.
+  // Requested keys, clipped to the snapshot's extent. Empty: every key of the
+  // snapshot.
   std::optional<KeyRange> range;
-  // Most rows of the answer.
+  // Maximum number of rows in the answer.
   std::uint32_t row_limit = 1;
-  // False: no part of it may run twice.
+  // False when no partition may be searched twice.
   bool repeatable = true;
   MonotonicTime received{};
   MonotonicTime deadline{};
 };
 
-// The value points into the storage of the block that holds the row.
+// One row. The value points into the storage of the block that holds the row.
 struct ResultRow {
   Key key = 0;
   std::string_view value;
 };
 
-// Rows of one subquery and what keeps their bytes alive.
+// Rows of one subquery.
 struct RowBlock {
+  // Keeps the bytes of the rows' values alive.
   std::shared_ptr<const void> storage;
   std::vector<ResultRow> rows;
 };
 
-// An owner's word on one subquery.
+// The result that an owner sent for one subquery.
 struct SubqueryReply {
   AttemptId attempt_id = 0;
   SubqueryOutcome outcome = SubqueryOutcome::kLost;
   RowBlock block;
   // Rows outside the subquery's range that the owner dropped.
   std::uint32_t dropped_rows = 0;
-  // Load of the back end as its owner sees it; 0 slots: not told.
+  // Running and queued subqueries of the backend and its slots, as its owner
+  // observed them. Both are unknown when slots is 0.
   std::uint32_t load = 0;
   std::uint32_t slots = 0;
-  // When to come back; zero if not told.
+  // How long to wait before retrying; zero when the owner gave no hint.
   Duration retry_after{};
 };
 
-// How the connection to an owner ended for the subqueries outstanding there.
+// What the loss of a connection means for the subqueries outstanding on it.
 enum class OwnerLoss {
-  kNothingSent,  // No byte of them left this process.
-  kMayHaveRun,   // The owner may have them.
+  kNothingSent,  // No byte of the subqueries left this process.
+  kMayHaveRun,   // The owner may have received the subqueries.
 };
 
-// --- What to do ---
+// --- Output ---
 
-// The views live until the QueryRun is next called or destroyed.
+// One subquery to send. The string views are valid until the next call to the
+// QueryRun or its destruction.
 struct PlannedSubquery {
   AttemptId attempt_id = 0;
   std::string_view backend;
@@ -82,20 +86,24 @@
   KeyRange range;
 };
 
+// Subqueries to send to one owner in one message.
 struct Batch {
   OwnerId owner = 0;
   resources::IndexVersion index_version = 0;
   std::uint32_t row_limit = 0;
+  // Time that the owner has for the batch.
   Duration remaining{};
   std::vector<PlannedSubquery> subqueries;
 };
 
+// Attempts that the front tells an owner to cancel.
 struct Cancellation {
   OwnerId owner = 0;
   std::vector<AttemptId> attempts;
 };
 
-// Names are those of the caller API (MissingReasonName).
+// Why a key range of an answer was not searched. The query API uses the names
+// that MissingReasonName returns.
 enum class MissingReason : std::uint8_t {
   kDeadline,
   kShed,
@@ -107,21 +115,23 @@
 
 std::string_view MissingReasonName(MissingReason reason);
 
+// A key range that was not searched.
 struct MissingRange {
   KeyRange range;
   MissingReason reason = MissingReason::kDeadline;
   bool operator==(const MissingRange&) const = default;
 };
 
-// What an answer stands for: disjoint ranges, sorted, that together make up
-// the asked range.
+// Which keys an answer covers. The searched and missing ranges are sorted and
+// disjoint, and together make up the requested range.
 struct Coverage {
-  // Searched part of the asked range, by width.
+  // Searched share of the requested range, by width, from 0 to 1.
   double share = 0;
   std::vector<KeyRange> searched;
   std::vector<MissingRange> missing;
 };
 
+// Rows of a query of which at least one partition was searched.
 struct Answer {
   resources::IndexVersion index_version = 0;
   // Sorted by key, at most the row limit.
@@ -129,28 +139,32 @@
   // Keeps the rows' values alive.
   std::vector<std::shared_ptr<const void>> storage;
   Coverage coverage;
+  // The searched partitions had more rows than the limit.
   bool truncated = false;
   ExecutionState execution = ExecutionState::kRan;
 };
 
+// End of a query of which no partition was searched.
 struct Refusal {
   Error error;
   ExecutionState execution = ExecutionState::kNotRun;
-  // When coming back can help.
+  // How long the client should wait before retrying; empty when a retry cannot
+  // succeed.
   std::optional<Duration> retry_after;
 };
 
-// Nobody waits for the answer any more.
+// End of a query whose client disconnected.
 struct Abandoned {
   ExecutionState execution = ExecutionState::kNotRun;
 };
 
 using QueryOutcome = std::variant<Answer, Refusal, Abandoned>;
 
+// What the front must do after a call to a QueryRun.
 struct Actions {
   std::vector<Batch> batches;
   std::vector<Cancellation> cancellations;
-  // Set once, with the last actions of the query.
+  // Set exactly once per query, in its last actions.
   std::optional<QueryOutcome> outcome;
 };
 
--- a/source/common/routing/replica_selector.cc
+++ b/source/common/routing/replica_selector.cc
@@ -6,12 +6,12 @@
 namespace juniperway::routing {
 namespace {
 
-// A replica is near when its latency is at most this many times the best one's
-// plus the slack.
+// A replica is near when its latency is at most kNearFactor times that of the
+// fastest replica plus kNearSlackUs.
 constexpr double kNearFactor = 2.0;
 constexpr double kNearSlackUs = 1000;
-// A near replica with more than this many subqueries a slot is compared with a
-// far one.
+// The selector compares a near replica that has more than this many subqueries
+// per slot with a random far one.
 constexpr double kCrowdedLoadPerSlot = 2.0;
 
 std::size_t RandomBelow(std::size_t bound, std::mt19937_64& random) {
@@ -72,7 +72,8 @@
   if (ejected_.size() <= bound) {
     return;
   }
-  // Too many: those that were ejected for longest stay out.
+  // The bound is exceeded: the backends with the latest probe time stay
+  // ejected.
   std::ranges::sort(ejected_, [&states](BackendId left, BackendId right) {
     const MonotonicTime left_until = states.EjectedUntil(left);
     const MonotonicTime right_until = states.EjectedUntil(right);
@@ -134,7 +135,7 @@
   if (count == 1) {
     return *candidates_[first];
   }
-  // Of the others, so that the two differ.
+  // Skips `first`, so that the two candidates differ.
   std::size_t second = RandomBelow(count - 1, random);
   if (second >= first) {
     ++second;
--- a/source/common/routing/replica_selector.h
+++ b/source/common/routing/replica_selector.h
@@ -1,6 +1,6 @@
-// Chooses the replica that gets a subquery: the cheaper of two random ones
-// among the near replicas (near: by measured latency), skipping those that
-// drain or are ejected. Pure: randomness and time are arguments.
+// Chooses the replica that gets a subquery: the cheaper of two random near
+// replicas, without those that are draining or ejected. A replica is near when
+// its measured latency is close to that of the fastest one.
 #pragma once
 
 #include <optional>
@@ -16,36 +16,39 @@
 namespace juniperway::routing {
 
 enum class ReplicaPolicy {
-  // The cheaper of two random near ones.
+  // The cheaper of two random near replicas.
   kLeastLoadedOfTwo,
-  // Any one: the baseline of benchmarks.
+  // Any replica; the baseline of benchmarks.
   kRandom,
 };
 
+// Input of one choice.
 struct ReplicaRequest {
   const PartitionRoute& partition;
-  // Service::maximum_ejected_share: of the partition's replicas, rounded down.
+  // Maximum share of the partition's replicas that may be ejected, rounded down
+  // to whole replicas (Service::maximum_ejected_share).
   double maximum_ejected_share = 0;
-  // Back ends that were asked before.
+  // Backends that must not be chosen, since the partition was sent to them.
   std::span<const BackendId> excluded;
-  // Taken only when every other choice is gone (a hedge goes past the owner
-  // that may be the slow part).
+  // Chosen only when no other owner is available. A hedge avoids the owner of
+  // the earlier attempt because that owner may itself be slow.
   std::optional<OwnerId> avoided_owner;
-  // Whether this subquery may test an ejected back end.
+  // Whether this subquery may probe a backend whose breaker is open.
   bool may_probe = true;
 };
 
 struct ReplicaChoice {
   ReplicaRoute replica;
-  // The breaker was open: this subquery tests the back end.
+  // The backend's breaker is open and the subquery is its probe.
   bool probe = false;
 };
 
+// Owned by a FrontState. Callers pass the random generator and the time.
 class ReplicaSelector {
  public:
   explicit ReplicaSelector(ReplicaPolicy policy) : policy_(policy) {}
 
-  // @return nothing when no replica is left.
+  // @return nothing when no replica may be chosen.
   std::optional<ReplicaChoice> Choose(const ReplicaRequest& request,
                                       const BackendStates& states,
                                       const OwnerStates& owners,
@@ -60,7 +63,8 @@
                          const BackendStates& states, MonotonicTime now);
   void PreferOtherOwners(std::optional<OwnerId> avoided,
                          const OwnerStates& owners, MonotonicTime now);
-  // Moves the near candidates to the front. @return how many they are.
+  // Moves the near candidates to the front.
+  // @return the number of near candidates.
   std::size_t PartitionByLatency(const BackendStates& states,
                                  MonotonicTime now);
   const ReplicaRoute& CheaperOfTwo(std::size_t count,
@@ -69,7 +73,7 @@
                                    MonotonicTime now) const;
 
   ReplicaPolicy policy_;
-  // Scratch space, kept to save allocations.
+  // Reused by each call to avoid allocations.
   std::vector<BackendId> ejected_;
   std::vector<const ReplicaRoute*> candidates_;
 };
--- a/source/common/routing/retry_budget.h
+++ b/source/common/routing/retry_budget.h
@@ -1,7 +1,9 @@
-// What a service may spend on extra subqueries: a token bucket that every first
-// subquery fills by the service's share and every hedge or retry empties by
-// one. Over any span: extra subqueries <= share * first ones + kReserve, and
-// what a quiet spell leaves over is bounded by the last windows' traffic.
+// Retry budget of a service: a token bucket that bounds its hedges and retries.
+// Every first subquery adds the service's share of a token, every hedge or
+// retry takes one token. Since the start, hedges + retries <= share * first
+// subqueries + kReserve. Unspent tokens are bounded by the deposits of the
+// current and the previous window, so that a long period without failures does
+// not permit a burst.
 #pragma once
 
 #include <cstdint>
@@ -10,30 +12,35 @@
 
 namespace juniperway::routing {
 
+// Owned by a ServiceState, one per service and front. Counts in tokens; one
+// token pays for one subquery.
 class RetryBudget {
  public:
-  // Tokens at the start, and kept however little traffic there is: a service
-  // with few queries can still retry now and then.
+  // Initial tokens, which never expire: a service with little traffic can
+  // still retry occasionally.
   static constexpr double kReserve = 10;
-  // Unspent tokens beyond those of the current and the previous window lapse.
+  // Unspent tokens, beyond kReserve, expire with the end of the window after
+  // the one in which they were deposited.
   static constexpr Duration kWindow = seconds(10);
 
-  // A first subquery was sent.
-  // @param share of the service (Service::retry_budget).
+  // Adds the tokens for one first subquery.
+  // @param share tokens per first subquery (Service::retry_budget).
   void Deposit(double share, MonotonicTime now);
 
   // Takes one token for a hedge or a retry.
-  // @return false when there is none: nothing extra may be sent.
+  // @return false when less than one token remains; the attempt must not be
+  // sent.
   bool TryWithdraw();
 
-  // Takes tokens for extra work that must be done (a restart on a newer
-  // snapshot); the balance may go below zero, so that hedges and retries pause
-  // until it is paid back.
+  // Takes one token per subquery for the repeated work of a restart on a newer
+  // snapshot. The balance may become negative; hedges and retries are then
+  // refused until deposits make up for the debt.
   void Charge(std::uint64_t subqueries);
 
   double balance() const { return tokens_; }
 
  private:
+  // Starts a new window when the current one has ended.
   void Roll(MonotonicTime now);
 
   double tokens_ = kReserve;
--- a/source/common/routing/routing_table.cc
+++ b/source/common/routing/routing_table.cc
@@ -41,7 +41,7 @@
 }
 
 void RoutingTable::UpdateServices(const session::FleetView& before) {
-  // The names of each changed service, to be edited.
+  // Copies of the name sets of the services that changed.
   std::map<std::string, std::shared_ptr<Names>> changed;
   const auto names_of = [&](const std::string& service) -> Names& {
     std::shared_ptr<Names>& names = changed[service];
@@ -77,7 +77,7 @@
 void RoutingTable::TakeOver(const RoutingTable& previous) {
   const Names changed = ChangedServices(previous);
   for (const auto& [key, route] : previous.routes_) {
-    // A snapshot never changes; one that was deleted is not routed any more.
+    // Snapshots are immutable, so only a deleted one invalidates its routes.
     if (!changed.contains(key.first) && view().snapshots.contains(key)) {
       routes_.emplace(key, route);
     }
--- a/source/common/routing/routing_table.h
+++ b/source/common/routing/routing_table.h
@@ -1,5 +1,6 @@
-// Routes of one view: service -> index version -> partition -> replicas. Built
-// anew with each view; the routes of a service are worked out at first use.
+// Routes of one fleet view: service -> index version -> partition -> replicas.
+// The front builds a new table for each view; the table builds the routes of a
+// snapshot at its first use.
 #pragma once
 
 #include <cstdint>
@@ -20,7 +21,7 @@
 
 namespace juniperway::routing {
 
-// A back end that may serve a partition, and whom to ask for it.
+// A backend that can serve a partition, and the owner that forwards to it.
 struct ReplicaRoute {
   BackendId backend = 0;
   OwnerId owner = 0;
@@ -28,16 +29,19 @@
   Locality locality = Locality::kSameZone;
 };
 
+// Replicas of one partition of a snapshot.
 struct PartitionRoute {
   KeyRange range;
   std::string shard;
-  // Back ends that hold the shard at this index version, do not drain and have
-  // an owner; sorted by name.
+  // Backends that hold the shard at this index version, are not draining and
+  // have an owner; sorted by name.
   std::vector<ReplicaRoute> replicas;
-  // With no replicas: true when back ends hold the shard but all drain.
+  // True when there are no replicas and at least one backend that holds the
+  // shard at this index version is draining.
   bool all_draining = false;
 };
 
+// Routes of one index version of a service.
 struct SnapshotRoute {
   resources::IndexVersion index_version = 0;
   // Sorted by range, contiguous.
@@ -49,16 +53,17 @@
 
 using SnapshotRoutePointer = std::shared_ptr<const SnapshotRoute>;
 
-// True when the operator, the back end's owner or the platform takes the back
-// end away: it gets no new work.
+// Whether the backend gets no new subqueries, because the operator drains it,
+// its owner reports it as draining or the platform is removing it.
 bool IsDraining(const std::string& backend, const session::FleetView& view);
 
-// Routes of one view. Built from the table of the view before: a service whose
-// back ends, reports, drains and owners did not change keeps its routes.
+// Owned by a FrontState and by the queries that use it. A table takes over from
+// the table of the previous view the routes of each service whose backends,
+// reports, drains and owners did not change. Used from one thread.
 class RoutingTable {
  public:
   // The name tables must outlive the routing table.
-  // @param previous the table of the view before, or null.
+  // @param previous the table of the previous view, or null.
   RoutingTable(session::FleetViewPointer view, const RoutingTable* previous,
                Place place, NameTable& backend_names, NameTable& owner_names);
 
@@ -70,16 +75,16 @@
   // @return null when the service is unknown.
   const resources::Service* FindService(const std::string& service) const;
 
-  // Routes of the version that new queries of the service are pinned to.
+  // Routes of the version to which new queries of the service are pinned.
   // @return null when the service serves no snapshot.
   SnapshotRoutePointer Serving(const std::string& service);
 
-  // Routes of one version, also of an older one that a query is pinned to.
+  // Routes of one version, which may be older than the one served.
   // @return null when the view does not have that snapshot.
   SnapshotRoutePointer Route(const std::string& service,
                              resources::IndexVersion index_version);
 
-  // The gateway of that number; null when it is no longer a member.
+  // @return the gateway with that id, or null when it is no longer a member.
   const session::Member* Owner(OwnerId owner) const;
 
  private:
@@ -87,9 +92,9 @@
   using BackendsByShard = std::map<std::string, std::vector<std::string>>;
   using Names = std::set<std::string>;
 
-  // Takes over what the changes since `previous` leave true.
+  // Takes over the routes that are still valid in this view.
   void TakeOver(const RoutingTable& previous);
-  // Brings backends_by_service_ to this view.
+  // Updates backends_by_service_ from the view `before` to this view.
   void UpdateServices(const session::FleetView& before);
   // Services whose routes may differ from those of `previous`.
   Names ChangedServices(const RoutingTable& previous) const;
@@ -104,7 +109,8 @@
   Place place_;
   NameTable& backend_names_;
   NameTable& owner_names_;
-  // Shared with the table before where nothing changed.
+  // By service name. Services without changes share the set with the previous
+  // table.
   std::map<std::string, std::shared_ptr<const Names>> backends_by_service_;
   std::map<SnapshotKey, SnapshotRoutePointer> routes_;
 };
--- a/source/common/routing/zone_owners.h
+++ b/source/common/routing/zone_owners.h
@@ -1,5 +1,4 @@
-// Owners of one zone's back ends. Immutable, so that the ownership tables of
-// successive views share the zones in which nothing changed.
+// Owners of one zone's backends.
 #pragma once
 
 #include <cstdint>
@@ -13,68 +12,76 @@
 
 namespace juniperway::routing {
 
-// True if the member may own back ends.
+// Whether the member may own backends: a gateway that is not leaving.
 bool MayOwn(const session::Member& member);
 
-// Weight of a gateway for a back end: the highest one owns it.
-// @param seed OwnerSeedOf the daemon.
+// Weight of a gateway for a backend; the gateway with the highest weight owns
+// the backend.
+// @param seed of the gateway, from OwnerSeedOf.
 std::uint64_t OwnerWeightOf(const std::string& backend, std::uint64_t seed);
+// Hash of the daemon id, the seed for OwnerWeightOf.
 std::uint64_t OwnerSeedOf(const std::string& daemon_id);
 
-// Whether a gateway of this weight goes before the best one so far (null:
-// none). Equal weights are settled by the smaller daemon id.
+// Whether `member`, with `weight`, takes precedence over `best`, the preferred
+// gateway so far (null: none). Of two equal weights, the smaller daemon id
+// wins.
 bool OwnsBefore(std::uint64_t weight, const session::Member& member,
                 std::uint64_t best_weight, const session::Member* best);
 
+// Immutable, so that the ownership tables of successive views share the zones
+// in which nothing changed. Owned by the OwnershipTables.
 class ZoneOwners {
  public:
   using MemberPointer = std::shared_ptr<const session::Member>;
 
   // What changed in a zone from one view to the next.
   struct Change {
-    // Gateways that may own, new or with another content.
+    // Gateways that may own backends and are new or have changed fields.
     std::vector<MemberPointer> set_members;
-    // Gateways that are gone or may not own any more.
+    // Ids of gateways that left or may no longer own backends.
     std::vector<std::string> removed_members;
     std::vector<std::string> added_backends;
     std::vector<std::string> removed_backends;
   };
 
   ZoneOwners() = default;
-  // Costs one comparison per back end and gateway that came, and a full scan
-  // only for the back ends whose owner went.
+  // Computes one weight per backend and set member, and compares all gateways
+  // only for new backends and those whose owner was removed.
   ZoneOwners(const ZoneOwners& previous, const Change& change);
 
-  // @return null when the back end is unknown or the zone has no gateway.
+  // @return null when the backend is unknown or the zone has no gateway.
   const session::Member* OwnerOf(const std::string& backend) const;
 
-  // Names of the back ends that `daemon_id` owns, not sorted.
+  // Names of the backends that `daemon_id` owns, not sorted.
   std::vector<std::string> OwnedBy(const std::string& daemon_id) const;
 
-  // Names of the back ends that have another owner here than in `previous`, or
-  // an owner in another place.
+  // Names of the backends whose owner, or the region of the owner, differs from
+  // `previous`.
   std::vector<std::string> MovedSince(const ZoneOwners& previous) const;
 
   bool empty() const { return candidates_.empty() && owners_.empty(); }
 
  private:
+  // A gateway that may own backends.
   struct Candidate {
     MemberPointer member;
     std::uint64_t seed = 0;
   };
   struct Owner {
-    // Null: no gateway.
+    // Null when the zone has no gateway.
     MemberPointer member;
     std::uint64_t weight = 0;
   };
 
   void ChangeCandidates(const Change& change);
+  // Replaces `best` by the candidate if the candidate takes precedence.
   static void Improve(const std::string& backend, const Candidate& candidate,
                       Owner& best);
   void ChooseAmongAll(const std::string& backend, Owner& owner) const;
 
   // By daemon id.
   std::map<std::string, Candidate> candidates_;
+  // By backend name.
   std::unordered_map<std::string, Owner> owners_;
 };
 
--- a/test/property/routing/query_checker.cc
+++ b/test/property/routing/query_checker.cc
@@ -39,9 +39,9 @@
 
   void CheckExecution(ExecutionState execution) {
     Expect(execution != ExecutionState::kNotRun || !AnyBegun(),
-           "says not-run, but a back end began it");
+           "reported as not run, but a backend started a subquery");
     Expect(execution == ExecutionState::kNotRun || !AllToldNotRun(),
-           "says that it may have run, but every subquery was refused unrun");
+           "reported as may have run, but no subquery was started");
   }
 
   void CheckAnswer(const Answer& answer) {
@@ -51,14 +51,14 @@
       const bool counts =
           sent.told_rows && sent.version == answer.index_version;
       Expect(!counts || IsSearched(answer.coverage, sent.range),
-             "rows were given, but their range is called missing");
+             "rows were received, but their range is reported as missing");
     }
     for (const KeyRange& range : answer.coverage.searched) {
       CheckWasSearched(answer.index_version, range);
     }
     const bool whole = answer.coverage.missing.empty();
     Expect((answer.execution == ExecutionState::kRan) == whole,
-           "execution does not fit the coverage");
+           "execution state contradicts the coverage");
   }
 
   void CheckAtMostOnce() {
@@ -71,7 +71,7 @@
       const bool again = std::ranges::any_of(begun, [&](const KeyRange& range) {
         return range.Intersects(sent.range);
       });
-      Expect(!again, "not repeatable, but a range was begun twice");
+      Expect(!again, "not repeatable, but a range was started twice");
       begun.push_back(sent.range);
     }
   }
@@ -79,7 +79,8 @@
   void CheckNothingLeft() {
     for (const auto& [attempt, sent] : query_.sent) {
       Expect(sent.settled || sent.cancelled,
-             "subquery " + std::to_string(attempt) + " was left running");
+             "subquery " + std::to_string(attempt) +
+                 " was neither completed nor cancelled");
     }
   }
 
@@ -91,7 +92,7 @@
         });
   }
 
-  // Searched and missing ranges make up the asked one, without overlap.
+  // The searched and missing ranges make up the requested one without overlap.
   void CheckRanges(const Coverage& coverage) {
     std::vector<KeyRange> all = coverage.searched;
     Key searched = 0;
@@ -107,13 +108,16 @@
       Expect(range.begin == next, "coverage has a gap or an overlap");
       next = range.end;
     }
-    Expect(next == query_.asked.end, "coverage ends early or late");
+    Expect(next == query_.asked.end,
+           "coverage does not end at the end of the requested range");
     const double share = static_cast<double>(searched) /
                          static_cast<double>(next - query_.asked.begin);
-    Expect(share == coverage.share, "share does not fit the ranges");
+    Expect(share == coverage.share,
+           "coverage share does not match the searched ranges");
   }
 
-  // Exactly the true rows of the named version in the searched ranges.
+  // The answer has exactly the expected rows of its index version in the
+  // searched ranges, up to the row limit.
   void CheckRows(const Answer& answer) {
     std::vector<Key> keys;
     for (const KeyRange& range : answer.coverage.searched) {
@@ -121,17 +125,19 @@
       keys.insert(keys.end(), more.begin(), more.end());
     }
     Expect(answer.truncated == (keys.size() > query_.row_limit),
-           "truncated is wrong");
+           "truncated contradicts the row limit");
     keys.resize(std::min<std::size_t>(keys.size(), query_.row_limit));
     bool same = answer.rows.size() == keys.size();
     for (std::size_t i = 0; same && i < keys.size(); ++i) {
       same = answer.rows[i].key == keys[i] &&
              answer.rows[i].value == TrueValue(answer.index_version, keys[i]);
     }
-    Expect(same, "rows are not those of the named snapshot and ranges");
+    Expect(
+        same,
+        "rows differ from those of the answer's snapshot and searched ranges");
   }
 
-  // Subqueries that gave rows in time cover all of it.
+  // Subqueries whose rows the front accepted cover the whole range.
   void CheckWasSearched(resources::IndexVersion version, KeyRange range) {
     Key covered = range.begin;
     for (bool grew = true; grew && covered < range.end;) {
@@ -144,7 +150,8 @@
         }
       }
     }
-    Expect(covered >= range.end, "called searched, but nobody searched it");
+    Expect(covered >= range.end,
+           "a range is reported as searched, but no subquery searched it");
   }
 
   const QueryRecord& query_;
@@ -174,10 +181,11 @@
 void CheckQuery(const QueryRecord& query, Duration latest_end,
                 std::vector<std::string>& violations) {
   Check check(query, violations);
-  check.Expect(query.outcomes.size() == 1,
-               std::to_string(query.outcomes.size()) + " final answers");
+  check.Expect(
+      query.outcomes.size() == 1,
+      std::to_string(query.outcomes.size()) + " outcomes instead of one");
   check.Expect(query.ended <= query.deadline + latest_end,
-               "ended long after its deadline");
+               "ended too long after its deadline");
   if (query.outcomes.empty()) {
     return;
   }
@@ -186,7 +194,8 @@
     check.CheckAnswer(*answer);
   } else if (const auto* refusal = std::get_if<Refusal>(&outcome)) {
     check.CheckExecution(refusal->execution);
-    check.Expect(refusal->retry_after.has_value(), "no time to come back");
+    check.Expect(refusal->retry_after.has_value(),
+                 "refusal without a retry-after");
   } else {
     check.CheckExecution(std::get<Abandoned>(outcome).execution);
   }
--- a/test/property/routing/query_checker.h
+++ b/test/property/routing/query_checker.h
@@ -1,6 +1,6 @@
-// What really happened to one query in a simulated fleet, and the promises of
-// the front tier checked against it. Knows nothing of the code under test but
-// its inputs and outputs.
+// Record of what happened to one query in a simulated fleet, and the check of
+// the front tier's guarantees against that record. The check uses only the
+// inputs and outputs of the code under test.
 #pragma once
 
 #include <cstdint>
@@ -13,36 +13,40 @@
 
 namespace juniperway::routing::testing {
 
-// The world's keys; partition maps of all versions cover exactly these.
+// End of the simulated key range, which starts at 0. The partition maps of all
+// versions cover exactly this range.
 inline constexpr Key kWorldEnd = 1200;
-// There is a row at each multiple of it.
+// Distance between the keys of neighbouring rows; the first row has key 0.
 inline constexpr Key kRowSpacing = 20;
 
-// The value of the row at `key` in an index version.
+// The expected value of the row at `key` in an index version.
 std::string TrueValue(resources::IndexVersion version, Key key);
 
-// Every row of a version in a range, in order.
+// The expected rows of a version in a range, in key order.
 RowBlock TrueRows(resources::IndexVersion version, KeyRange range);
 
-// One subquery that left the front.
+// One subquery that the front sent.
 struct SentSubquery {
   OwnerId owner = 0;
   resources::IndexVersion version = 0;
   KeyRange range;
-  // The back end began it.
+  // The backend started the subquery.
   bool begun = false;
-  // The front was told, while it counted, that it was not run.
+  // The front received evidence that the subquery was not run, before the
+  // subquery was completed or cancelled.
   bool told_not_run = false;
-  // The front got its rows while they counted.
+  // The front received the rows before the subquery was completed or cancelled.
   bool told_rows = false;
-  // Answered or lost, or cancelled: nothing is left to do about it.
+  // The subquery was answered or lost.
   bool settled = false;
   bool cancelled = false;
 };
 
+// Inputs, subqueries and outcomes of one query.
 struct QueryRecord {
   std::uint64_t id = 0;
-  // As the caller asked: not what the run was told.
+  // As the client requested; an injected defect may pass another value to the
+  // QueryRun.
   bool repeatable = true;
   KeyRange asked;
   std::uint32_t row_limit = 0;
@@ -52,8 +56,9 @@
   MonotonicTime ended{};
 };
 
-// Appends a line for each broken promise of the finished query.
-// @param latest_end how late after its deadline a query may end.
+// Appends a line to `violations` for each guarantee that the finished query
+// broke.
+// @param latest_end how long after its deadline a query may end.
 void CheckQuery(const QueryRecord& query, Duration latest_end,
                 std::vector<std::string>& violations);
 
--- a/test/property/routing/query_property_test.cc
+++ b/test/property/routing/query_property_test.cc
@@ -1,5 +1,6 @@
-// The front tier's promises over seeded histories of a whole fleet, and the
-// checks' own test: planted defects must be caught.
+// Checks the front tier's guarantees over seeded histories of a simulated
+// fleet. A second test verifies the checks: they must detect each injected
+// defect.
 #include <doctest/doctest.h>
 
 #include <string>
@@ -10,7 +11,7 @@
 namespace {
 
 constexpr std::uint64_t kSeeds = 3000;
-// Enough for each planted defect to show.
+// Each injected defect must cause a violation within this many seeds.
 constexpr std::uint64_t kDefectSeeds = 40;
 
 std::string FirstOf(const WorldResult& result) {
@@ -38,7 +39,7 @@
       counts[what] += count;
     }
   }
-  // The runs met what they are meant to provoke.
+  // Each kind of event must occur often enough for the checks to be meaningful.
   for (const std::string what :
        {"whole", "partial", "refused, not run", "refused, may have run",
         "abandoned", "hedges", "retries", "reroutes", "restarts", "snapshots",
@@ -52,7 +53,7 @@
   MESSAGE("subqueries: " << counts["subqueries"]);
 }
 
-TEST_CASE("each planted defect is caught") {
+TEST_CASE("the checks detect each injected defect") {
   CHECK(IsCaught(PlantedDefect::kMixedSnapshot));
   CHECK(IsCaught(PlantedDefect::kFalseCoverage));
   CHECK(IsCaught(PlantedDefect::kFalseNotRun));
--- a/test/property/routing/query_world.cc
+++ b/test/property/routing/query_world.cc
@@ -14,9 +14,12 @@
 namespace juniperway::routing::testing {
 namespace {
 
+// Maximum delay of a timer in the simulation.
 constexpr Duration kLatestTimer = microseconds(300);
+// Backoff before the front connects to an owner again after a loss.
 constexpr Duration kPause = milliseconds(20);
 
+// A query with its record; the World and its events share ownership.
 struct WorldQuery {
   QueryRecord record;
   std::unique_ptr<QueryRun> run;
@@ -24,17 +27,18 @@
 };
 using QueryPointer = std::shared_ptr<WorldQuery>;
 
-// A connection to an owner.
+// The front's connection to an owner.
 struct Link {
   bool connected = false;
   bool connecting = false;
   MonotonicTime paused_until{};
-  // Grows with each loss: what was sent before is gone.
+  // Incremented with each loss; messages of earlier generations may be lost.
   int generation = 0;
-  // What waits for the connection.
+  // Sends that wait for the connection to be established.
   std::vector<std::function<void()>> waiting;
 };
 
+// Simulates one fleet with one front and the queries of its clients.
 class World {
  public:
   explicit World(const WorldOptions& options)
@@ -43,7 +47,7 @@
         fleet_(random_),
         front_({"z0", "r0"}, options.seed) {
     Publish();
-    // Some worlds know latencies from the start, so that hedges go out.
+    // Some worlds start with latency samples, so that the front sends hedges.
     if (Chance(0.7)) {
       for (int i = 0; i < 100; ++i) {
         front_.services[kService].latency.Record(Between(1, 8));
@@ -83,7 +87,7 @@
   }
 
  private:
-  // --- Chance and time ---
+  // --- Randomness and time ---
   std::uint64_t Draw(std::uint64_t bound) { return random_.Draw(bound); }
   bool Chance(double probability) { return random_.Chance(probability); }
   Duration Between(int low_ms, int high_ms) {
@@ -146,13 +150,13 @@
     }
   }
 
-  // As the front's shell does it.
+  // Carries out the actions, as the front's query executor does.
   void Apply(const QueryPointer& query, Actions actions) {
     QueryRecord& record = query->record;
     if (!record.outcomes.empty()) {
       const bool silent = actions.batches.empty() &&
                           actions.cancellations.empty() && !actions.outcome;
-      Expect(silent, "something was done after the last answer");
+      Expect(silent, "the query returned actions after its outcome");
     }
     std::vector<const Batch*> unsent;
     for (const Batch& batch : actions.batches) {
@@ -220,19 +224,20 @@
     }
   }
 
-  // --- Out ---
+  // --- From the front to the owners ---
   void CheckBatch(const QueryRecord& record, const Batch& batch) {
     Expect(now_ < record.deadline, "sent after the deadline");
     Expect(batch.remaining > Duration::zero() &&
                now_ + batch.remaining <= record.deadline,
-           "an owner got more time than is left");
+           "an owner got more time than remains until the deadline");
     for (const PlannedSubquery& planned : batch.subqueries) {
       const std::string name(planned.backend);
       Expect(!fleet_.IsDraining(name),
-             "sent to a back end that the view says is draining");
+             "sent to a backend that the view reports as draining");
       Expect(fleet_.view().reports.at(name).held_versions.contains(
                  batch.index_version),
-             "sent to a back end that does not hold the snapshot");
+             "sent to a backend that the view reports as not holding the "
+             "snapshot");
     }
   }
 
@@ -287,7 +292,7 @@
     });
   }
 
-  // The connection breaks: what is under way may or may not arrive.
+  // Breaks the connection; messages in flight may or may not arrive.
   void LoseLink(OwnerId owner) {
     Link& link = links_[owner];
     if (!link.connected) {
@@ -316,7 +321,7 @@
     }
   }
 
-  // --- At the owner and the back end ---
+  // --- At the owner and the backend ---
   void Arrive(const QueryPointer& query, AttemptId id,
               const std::string& backend, Duration remaining, int generation) {
     SentSubquery& sent = query->record.sent.at(id);
@@ -342,12 +347,12 @@
     for (const AttemptId id : cancellation.attempts) {
       SentSubquery& sent = query->record.sent.at(id);
       Expect(sent.owner == cancellation.owner, "cancelled at another owner");
-      Expect(!sent.settled, "cancelled although it had ended");
+      Expect(!sent.settled, "cancelled after it was completed");
       sent.cancelled = true;
     }
   }
 
-  // --- Back ---
+  // --- From the owners to the front ---
   void Reply(const QueryPointer& query, AttemptId id, SubqueryOutcome outcome,
              Duration after) {
     const SentSubquery& sent = query->record.sent.at(id);
@@ -368,7 +373,7 @@
                int generation) {
     QueryRecord& record = query->record;
     SentSubquery& sent = record.sent.at(id);
-    // What comes over a broken connection is late, if it comes at all.
+    // Most results of a broken connection are lost.
     const bool hung_up = generation != links_[sent.owner].generation;
     if (!record.outcomes.empty() || (hung_up && Chance(0.8))) {
       return;
@@ -384,7 +389,8 @@
     Apply(query, query->run->OnReplies(sent.owner, std::move(replies), now_));
   }
 
-  // An attempt that does not exist, or another owner's.
+  // Delivers a result for an attempt that does not exist or belongs to another
+  // owner.
   void DeliverForeign(const QueryPointer& query, AttemptId id,
                       SubqueryOutcome outcome) {
     if (!query->record.outcomes.empty()) {
@@ -420,7 +426,7 @@
     return reply;
   }
 
-  // --- Sums ---
+  // --- Totals ---
   void CheckLoad() {
     const FrontCounters& counters = front_.counters;
     const auto firsts = static_cast<double>(counters.first_subqueries);
@@ -430,13 +436,13 @@
     const std::uint64_t counted = counters.first_subqueries + counters.hedges +
                                   counters.retries + counters.reroutes +
                                   counters.restarted_subqueries;
-    Expect(sent_ <= counted, "more was sent than was counted");
-    // What a back end began beyond first subqueries was paid for, or is owed
-    // for a restart.
+    Expect(sent_ <= counted, "more subqueries were sent than counted");
+    // Subqueries that backends started beyond the first ones are bounded by the
+    // retry budget and the subqueries of restarts.
     Expect(static_cast<double>(begun_) <=
                firsts + allowed +
                    static_cast<double>(counters.restarted_subqueries),
-           "back ends began more than the budget allows");
+           "backends started more subqueries than the retry budget allows");
     result_.counts["snapshots"] += fleet_.newest();
     result_.counts["subqueries"] += sent_;
     result_.counts["hedges"] += counters.hedges;
--- a/test/property/routing/query_world.h
+++ b/test/property/routing/query_world.h
@@ -1,7 +1,7 @@
-// A random fleet under virtual time around QueryRun: owners that lose, delay,
-// duplicate, shed, refuse for their snapshot, hang up and cannot be reached;
-// callers that go away; views that change snapshots, partition maps, drains and
-// members. Seeded: the same options give the same history.
+// Simulation of a random fleet around QueryRun under virtual time. Owners lose,
+// delay, duplicate, shed or refuse subqueries, disconnect and are unreachable;
+// clients disconnect; views change snapshots, partition maps, drains and
+// members. The same options give the same history.
 #pragma once
 
 #include <cstdint>
@@ -11,44 +11,48 @@
 
 namespace juniperway::routing::testing {
 
-// Ways to break a promise at the border of the code under test, to show that
-// the checks see it.
+// Defects that the simulation injects into the inputs or outputs of the code
+// under test, to verify that the checks detect them.
 enum class PlantedDefect {
   kNone,
-  // A result's rows are of another index version.
+  // The rows of a result belong to another index version.
   kMixedSnapshot,
-  // A missing range is called searched.
+  // A missing range is reported as searched.
   kFalseCoverage,
-  // Every refusal says not-run.
+  // Every refusal reports that the query was not run.
   kFalseNotRun,
-  // Every refusal says may-have-run.
+  // Every refusal reports that the query may have run.
   kFalseMayHaveRun,
-  // The run takes every query for repeatable.
+  // The QueryRun treats every query as repeatable.
   kRepeatsAll,
-  // Cancellations do not leave.
+  // Cancellations are not sent.
   kNoCancels,
-  // The front's view knows of no drains.
+  // The front's view contains no drains.
   kIgnoresDrains,
-  // The front spends ten times the budget.
+  // The front uses ten times the retry budget share.
   kOverspends,
-  // The run believes in a later deadline.
+  // The QueryRun gets a later deadline than the client's.
   kLateDeadline,
-  // The last answer is given twice.
+  // The final outcome is delivered twice.
   kTwoAnswers,
 };
 
+// Input of one simulation.
 struct WorldOptions {
   std::uint64_t seed = 1;
   int queries = 25;
   PlantedDefect defect = PlantedDefect::kNone;
 };
 
+// Result of one simulation.
 struct WorldResult {
+  // One line for each broken guarantee; empty when all hold.
   std::vector<std::string> violations;
-  // How often each kind of thing happened; names are for people.
+  // Number of events by a descriptive name of their kind.
   std::map<std::string, std::uint64_t> counts;
 };
 
+// Runs one simulation to its end.
 WorldResult RunWorld(const WorldOptions& options);
 
 }  // namespace juniperway::routing::testing
--- a/test/property/routing/world_fleet.cc
+++ b/test/property/routing/world_fleet.cc
@@ -11,7 +11,7 @@
   return std::to_string(layout) + "-" + std::to_string(number);
 }
 
-// A partition map of `layout` equal parts.
+// A snapshot with `layout` partitions of equal width.
 resources::IndexSnapshot MakeSnapshot(resources::IndexVersion version,
                                       int layout) {
   resources::IndexSnapshot snapshot{kService, version, {}};
@@ -55,7 +55,7 @@
   }
 }
 
-// Each back end has two shards of every map.
+// Each backend serves two shards of every partition layout.
 void WorldFleet::AddBackends() {
   for (int i = 0; i < kBackends; ++i) {
     resources::Backend backend;
@@ -70,8 +70,8 @@
   }
 }
 
-// With its own map; older versions go from some back ends, and the view may lag
-// behind that.
+// Serves the next version with a random partition layout. Most backends drop
+// the older versions; the reports in the view may still list those.
 void WorldFleet::ServeNextVersion() {
   const resources::IndexVersion version = ++newest_;
   const int layout = 3 + static_cast<int>(random_.Draw(3));
--- a/test/property/routing/world_fleet.h
+++ b/test/property/routing/world_fleet.h
@@ -1,5 +1,5 @@
-// The fleet of a simulated world: what the view says of it, and what its back
-// ends really hold; both change at random.
+// Simulated fleet: the published view, and the index versions that the backends
+// actually hold. Both change at random.
 #pragma once
 
 #include <map>
@@ -18,21 +18,22 @@
 
 std::string BackendName(int number);
 
+// Owned by a World, whose random generator the fleet shares.
 class WorldFleet {
  public:
   // Serves one snapshot.
   explicit WorldFleet(WorldRandom& random);
 
-  // A new snapshot, a drain, a leaving machine or a leaving gateway; or the end
-  // of one of these.
+  // Makes one random change: serves a new snapshot, or starts or ends the drain
+  // of a backend, the removal of its machine or the leaving of a gateway.
   void Change();
 
   const session::FleetView& view() const { return view_; }
-  // Index versions served so far.
+  // The newest index version; versions start at 1.
   resources::IndexVersion newest() const { return newest_; }
-  // The truth, which the view may not know yet.
+  // Whether the backend actually holds the version; the view may be outdated.
   bool Holds(const std::string& backend, resources::IndexVersion version) const;
-  // The view says that the back end gets no new work.
+  // Whether the view excludes the backend from new subqueries.
   bool IsDraining(const std::string& backend) const;
 
  private:
@@ -46,17 +47,18 @@
   resources::IndexVersion newest_ = 0;
 };
 
-// What an owner and its back end do with a subquery.
+// How an owner and its backend handle one subquery.
 struct Fate {
   SubqueryOutcome outcome = SubqueryOutcome::kRows;
-  // Until the owner says so.
+  // Time from the arrival at the owner until the owner sends the result.
   Duration after{};
   bool begun = false;
-  // The owner never says anything.
+  // The owner never sends a result.
   bool silent = false;
 };
 
-// @param remaining what the owner was given.
+// Draws how a subquery is handled.
+// @param remaining time that the front gave the owner.
 Fate DrawFate(WorldRandom& random, bool holds_snapshot, Duration remaining);
 
 }  // namespace juniperway::routing::testing
--- a/test/unit/routing/admission_limit_test.cc
+++ b/test/unit/routing/admission_limit_test.cc
@@ -1,4 +1,5 @@
-// The limit of running queries: when it falls, how far, and how it grows again.
+// AdmissionLimit: when the limit decreases, by how much, and how it grows
+// again.
 #include "common/routing/admission_limit.h"
 
 #include <doctest/doctest.h>
@@ -25,21 +26,23 @@
 
 }  // namespace
 
-TEST_CASE("one overload is one fall, to a share of what ran") {
+TEST_CASE(
+    "one overload lowers the limit once, to a share of the running queries") {
   AdmissionLimit limit;
   Begin(limit, 102);
   CHECK(limit.HasRoom());
   EndAll(limit, 52, End::kOverloaded, At(0), At(10));
-  // 100 ran at the third of them.
+  // 100 queries ran when the third overloaded one ended.
   CHECK(limit.limit() == 80);
-  // Begun after the fall: it was not far enough.
+  // Queries begun after the decrease were overloaded, too: the limit decreases
+  // again.
   Begin(limit, 32);
   CHECK(!limit.HasRoom());
   EndAll(limit, 3, End::kOverloaded, At(10), At(20));
   CHECK(limit.limit() == 64);
 }
 
-TEST_CASE("a shed now and then is no overload") {
+TEST_CASE("occasional sheds do not lower the limit") {
   AdmissionLimit limit;
   Begin(limit, 10);
   for (int i = 0; i < 10'000; ++i) {
@@ -50,7 +53,7 @@
   CHECK(limit.limit() == AdmissionLimit::kHighest);
 }
 
-TEST_CASE("it never keeps everything out, and grows while it is used") {
+TEST_CASE("the limit has a minimum, and grows only while it is in use") {
   AdmissionLimit limit;
   for (int ms = 0; ms < 100; ++ms) {
     Begin(limit, 1);
@@ -58,7 +61,7 @@
   }
   CHECK(limit.limit() == AdmissionLimit::kLowest);
   CHECK(limit.HasRoom());
-  // Hardly used: no need to grow.
+  // One running query uses too little of the limit for it to grow.
   Begin(limit, 1);
   limit.OnEnd(End::kServed, At(200), At(201));
   CHECK(limit.limit() == AdmissionLimit::kLowest);
@@ -72,7 +75,8 @@
   CHECK(limit.running() == 4);
 }
 
-TEST_CASE("what says nothing of load changes nothing") {
+TEST_CASE(
+    "queries that end without evidence about load do not change the limit") {
   AdmissionLimit limit;
   Begin(limit, 10);
   EndAll(limit, 10, End::kOther, At(0), At(1));
--- a/test/unit/routing/ownership_test.cc
+++ b/test/unit/routing/ownership_test.cc
@@ -1,4 +1,5 @@
-// Ownership: agreement with the single-shot rule, minimal moves, exclusions.
+// Ownership: OwnershipTable agrees with OwnerOf, membership changes move as few
+// backends as possible, and leaving members own none.
 #include "common/routing/ownership.h"
 
 #include <doctest/doctest.h>
@@ -49,7 +50,8 @@
 
 }  // namespace
 
-TEST_CASE("an owner is a staying gateway of the back end's own zone") {
+TEST_CASE(
+    "an owner is a gateway of the backend's own zone that is not leaving") {
   session::FleetView view = ViewOf(4, 40);
   view.members["gateway-0"].leaving = true;
   view.members["control-1"] = Gateway("control-1", "a");
@@ -68,7 +70,7 @@
   CHECK(OwnershipTable(Share(view)).OwnerOf("backend-0") == nullptr);
 }
 
-TEST_CASE("a member that goes moves only the back ends it had") {
+TEST_CASE("removing a member moves only the backends that it owned") {
   session::FleetView view = ViewOf(10, 400);
   const OwnershipTable before(Share(view));
   view.members.erase("gateway-4");
@@ -86,7 +88,7 @@
   CHECK(moved < 100);
 }
 
-TEST_CASE("a table built from the one before agrees with the plain rule") {
+TEST_CASE("a table built from the previous one agrees with OwnerOf") {
   std::mt19937_64 random(7);
   session::FleetView view = ViewOf(6, 60);
   auto table = std::make_unique<OwnershipTable>(Share(view));
--- a/test/unit/routing/query_run_extra_test.cc
+++ b/test/unit/routing/query_run_extra_test.cc
@@ -1,5 +1,5 @@
-// QueryRun: hedges, retries, re-routes and their bounds; requests that must not
-// be repeated.
+// QueryRun: hedges, retries and reroutes with their bounds; queries that are
+// not repeatable; the load signal for the admission limit.
 #include <doctest/doctest.h>
 
 #include "common/routing/query_run.h"
@@ -17,7 +17,7 @@
 }  // namespace
 
 TEST_CASE(
-    "a straggler is hedged at the learned quantile, the loser cancelled") {
+    "a straggler is hedged at the latency quantile, the loser is cancelled") {
   QueryFixture fixture({.partitions = 1, .replicas = 2});
   fixture.LearnLatency(milliseconds(10));
   const std::vector<Sent> first = SentIn(fixture.Start());
@@ -40,21 +40,21 @@
     const Actions last = fixture.Reply(first[0], test::Rows(first[0]), At(201));
     CHECK(CancelledIn(last) == std::vector<AttemptId>{hedge[0].attempt});
   }
-  SUBCASE("one is lost: the other one still counts") {
+  SUBCASE("one is lost: the result of the other is accepted") {
     CHECK(!fixture.Reply(first[0], SubqueryOutcome::kLost, At(201)).outcome);
     const Actions last = fixture.Reply(hedge[0], test::Rows(hedge[0]), At(202));
     CHECK(test::AnswerIn(last).coverage.share == 1.0);
   }
 }
 
-TEST_CASE("no hedge: switched off, nothing learned, no budget, replica busy") {
+TEST_CASE("no hedge: switched off, no samples, no budget, or replica busy") {
   QueryFixture fixture({.partitions = 1, .replicas = 2});
   SUBCASE("switched off") {
     fixture.LearnLatency(milliseconds(10));
     fixture.service().hedging = false;
     fixture.Start();
   }
-  SUBCASE("nothing learned") { fixture.Start(); }
+  SUBCASE("no latency samples") { fixture.Start(); }
   SUBCASE("no budget") {
     fixture.LearnLatency(milliseconds(10));
     fixture.Start();
@@ -74,7 +74,8 @@
   CHECK(fixture.front.counters.hedges == 0);
 }
 
-TEST_CASE("a lost subquery is retried elsewhere while the budget lasts") {
+TEST_CASE(
+    "a lost subquery is retried on another backend while the budget lasts") {
   QueryFixture fixture({.partitions = 1, .replicas = 2});
   const std::vector<Sent> first = SentIn(fixture.Start());
   SUBCASE("with budget") {
@@ -84,7 +85,7 @@
     CHECK(retry[0].backend != first[0].backend);
     CHECK(fixture.front.counters.retries == 1);
   }
-  SUBCASE("without budget: given up at once") {
+  SUBCASE("without budget: the query ends at once") {
     fixture.SpendBudget();
     const Actions last = fixture.Reply(first[0], SubqueryOutcome::kLost, At(1));
     CHECK(test::RefusalIn(last).execution == ExecutionState::kMayHaveRun);
@@ -92,7 +93,7 @@
   }
 }
 
-TEST_CASE("re-routes cost no budget and are bounded") {
+TEST_CASE("reroutes take no budget and are bounded") {
   QueryFixture fixture({.partitions = 1, .replicas = 2});
   fixture.SpendBudget();
   SubqueryOutcome outcome = SubqueryOutcome::kNotOwner;
@@ -115,7 +116,7 @@
   CHECK(fixture.front.counters.retries == 0);
 }
 
-TEST_CASE("a drained back end is not asked again by later queries") {
+TEST_CASE("later queries avoid a backend that reported a drain") {
   QueryFixture fixture({.partitions = 1, .replicas = 2});
   const std::vector<Sent> first = SentIn(fixture.Start());
   const std::vector<Sent> second =
@@ -131,10 +132,11 @@
   }
 }
 
-TEST_CASE("extra subqueries stay within the share over many queries") {
+TEST_CASE("hedges stay within the budget share over many queries") {
   QueryFixture fixture({.partitions = 10, .replicas = 2});
   fixture.service().hedge_quantile = 0.5;
-  // Every first subquery straggles, by what was learned: each asks for a hedge.
+  // Every first subquery takes longer than the recorded latencies, so that each
+  // one becomes due for a hedge.
   for (int query = 0; query < 300; ++query) {
     fixture.LearnLatency(milliseconds(5));
     const std::int64_t start = 100 * query;
@@ -152,18 +154,20 @@
   CHECK(counters.hedges >= 0.05 * 3000 - 1);
 }
 
-TEST_CASE("a restart's subqueries are owed to the budget") {
+TEST_CASE(
+    "a restart charges the budget for the attempts of the earlier snapshot") {
   QueryFixture fixture({.partitions = 4, .replicas = 1});
   const std::vector<Sent> old = SentIn(fixture.Start());
   const double before = fixture.front.services[test::kService].budget.balance();
   fixture.ServeNext(4);
   fixture.Reply(old[0], SubqueryOutcome::kWrongSnapshot, At(1));
   const double after = fixture.front.services[test::kService].budget.balance();
-  // Three of four may have run in vain.
+  // Three of the four earlier attempts may have run.
   CHECK(before - after == doctest::Approx(3));
 }
 
-TEST_CASE("not repeatable: no hedge, and no retry of what may have run") {
+TEST_CASE(
+    "not repeatable: no hedge, and no retry of an attempt that may have run") {
   QueryFixture fixture({.partitions = 2, .replicas = 2});
   fixture.LearnLatency(milliseconds(10));
   fixture.request.repeatable = false;
@@ -171,7 +175,7 @@
   for (int ms = 10; ms < 500; ms += 10) {
     CHECK(SentIn(fixture.run->OnTimer(At(ms))).empty());
   }
-  SUBCASE("lost: missing, never sent again") {
+  SUBCASE("lost: the range is missing and not sent again") {
     const Actions lost =
         fixture.Reply(first[0], SubqueryOutcome::kLost, At(500));
     CHECK(SentIn(lost).empty());
@@ -180,18 +184,18 @@
     CHECK(test::AnswerIn(last).coverage.missing ==
           std::vector<MissingRange>{{{0, 100}, MissingReason::kLost}});
   }
-  SUBCASE("shed unrun: sent again elsewhere") {
+  SUBCASE("shed before its start: sent to another backend") {
     const std::vector<Sent> retry =
         SentIn(fixture.Reply(first[0], SubqueryOutcome::kShed, At(500)));
     REQUIRE(retry.size() == 1);
     CHECK(retry[0].backend != first[0].backend);
   }
-  SUBCASE("owner lost after sending: never sent again") {
+  SUBCASE("owner lost after sending: not sent again") {
     const Actions lost = fixture.run->OnOwnerLost(
         first[0].owner, OwnerLoss::kMayHaveRun, At(500));
     CHECK(SentIn(lost).empty());
   }
-  SUBCASE("batch never sent: sent elsewhere") {
+  SUBCASE("batch not sent: sent to another backend") {
     Batch unsent;
     unsent.owner = first[0].owner;
     unsent.subqueries.push_back({first[0].attempt, "", "", first[0].range});
@@ -199,12 +203,12 @@
   }
 }
 
-TEST_CASE("not repeatable: starts over only when nothing may have run") {
+TEST_CASE("not repeatable: restarts only when no attempt may have run") {
   QueryFixture fixture({.partitions = 2, .replicas = 1});
   fixture.request.repeatable = false;
   const std::vector<Sent> old = SentIn(fixture.Start());
   fixture.ServeNext(2);
-  SUBCASE("the other part ran") {
+  SUBCASE("the other partition ran") {
     fixture.Reply(old[0], test::Rows(old[0]), At(1));
     Actions actions =
         fixture.Reply(old[1], SubqueryOutcome::kWrongSnapshot, At(2));
@@ -223,7 +227,7 @@
     CHECK(test::AnswerIn(actions).coverage.missing[0].reason ==
           MissingReason::kWrongSnapshot);
   }
-  SUBCASE("all were refused unrun") {
+  SUBCASE("all attempts were refused before their start") {
     fixture.Reply(old[0], SubqueryOutcome::kWrongSnapshot, At(1));
     const Actions restart =
         fixture.Reply(old[1], SubqueryOutcome::kWrongSnapshot, At(2));
@@ -233,7 +237,8 @@
   }
 }
 
-// One of two partitions is shed by its only back end; the other one answers.
+// Ends a query of two partitions: the only backend of one sheds with the given
+// reported load, the other partition answers.
 QueryOutcome EndWithOneShed(QueryFixture& fixture, std::uint32_t load) {
   const std::vector<Sent> sent = SentIn(fixture.Start());
   SubqueryReply shed = Outcome(sent[0], SubqueryOutcome::kShed);
@@ -245,17 +250,17 @@
 }
 
 TEST_CASE(
-    "overload is what busy back ends shed, where the rest is too little") {
+    "a query is overloaded if busy backends shed and coverage is too low") {
   QueryFixture fixture({.partitions = 2, .replicas = 1});
   SUBCASE("busy") {
     const QueryOutcome outcome = EndWithOneShed(fixture, 4);
     CHECK(fixture.run->LoadSignal(outcome) == AdmissionLimit::End::kOverloaded);
   }
-  SUBCASE("idle: a breaker or a fault, which fewer queries would not mend") {
+  SUBCASE("idle: a breaker or fault, which a lower limit would not help") {
     const QueryOutcome outcome = EndWithOneShed(fixture, 0);
     CHECK(fixture.run->LoadSignal(outcome) == AdmissionLimit::End::kOther);
   }
-  SUBCASE("the service is content with what was searched") {
+  SUBCASE("the coverage meets the service's minimum") {
     fixture.service().answer_policy = resources::AnswerPolicy::kLatency;
     fixture.service().minimum_coverage = 0.5;
     const QueryOutcome outcome = EndWithOneShed(fixture, 4);
--- a/test/unit/routing/query_run_test.cc
+++ b/test/unit/routing/query_run_test.cc
@@ -1,5 +1,5 @@
-// QueryRun: answers, coverage and refusals. Extra subqueries:
-// query_run_extra_test.cc.
+// QueryRun: answers, coverage, refusals and restarts. query_run_extra_test.cc
+// tests hedges, retries and reroutes.
 #include "common/routing/query_run.h"
 
 #include <doctest/doctest.h>
@@ -25,11 +25,11 @@
 
 }  // namespace
 
-TEST_CASE("a query whose partitions all answer is whole, sorted and ran") {
+TEST_CASE("an answer of all partitions is complete, sorted and marked as run") {
   QueryFixture fixture;
   const std::vector<Sent> sent = SentIn(fixture.Start());
   REQUIRE(sent.size() == 4);
-  // Out of order, with unsorted rows in one of them.
+  // The results arrive out of order, one of them with unsorted rows.
   Actions actions;
   for (const std::size_t i : {3U, 1U, 0U, 2U}) {
     CHECK(!actions.outcome.has_value());
@@ -48,7 +48,7 @@
   CHECK(!answer.truncated);
 }
 
-TEST_CASE("an asked range is clipped, and partitions outside are not asked") {
+TEST_CASE("a requested range is clipped, and only its partitions are queried") {
   QueryFixture fixture;
   fixture.request.range = KeyRange{150, 250};
   const std::vector<Sent> sent = SentIn(fixture.Start());
@@ -61,7 +61,7 @@
         std::vector<KeyRange>{{150, 250}});
 }
 
-TEST_CASE("a range without any key of the snapshot is refused as bad input") {
+TEST_CASE("a range without any key of the snapshot is an invalid argument") {
   QueryFixture fixture;
   fixture.request.range = KeyRange{4000, 5000};
   const Refusal refusal = test::RefusalIn(fixture.Start());
@@ -81,7 +81,7 @@
   CHECK(fixture.front.counters.out_of_range_rows == 5);
 }
 
-TEST_CASE("the row limit cuts by key and says so") {
+TEST_CASE("the row limit truncates by key and sets truncated") {
   QueryFixture fixture({.partitions = 2});
   fixture.request.row_limit = 2;
   const Actions first = fixture.Start();
@@ -95,7 +95,7 @@
   CHECK(test::AnswerIn(last).truncated);
 }
 
-TEST_CASE("late, duplicate and foreign results change nothing") {
+TEST_CASE("late, duplicate and foreign results are discarded") {
   QueryFixture fixture({.partitions = 2});
   const std::vector<Sent> sent = SentIn(fixture.Start());
   fixture.Reply(sent[0], test::Rows(sent[0]), At(1));
@@ -114,11 +114,12 @@
 
   const Actions last = fixture.Reply(sent[1], test::Rows(sent[1]), At(3));
   CHECK(KeysOf(test::AnswerIn(last)) == std::vector<Key>{0, 100});
-  // After the end: no second outcome.
+  // A result after the end produces no second outcome.
   CHECK(!fixture.Reply(sent[1], test::Rows(sent[1]), At(4)).outcome);
 }
 
-TEST_CASE("at the deadline the answer names what was not searched") {
+TEST_CASE(
+    "at the deadline the answer lists the ranges that were not searched") {
   QueryFixture fixture;
   const std::vector<Sent> sent = SentIn(fixture.Start());
   fixture.Reply(sent[0], test::Rows(sent[0]), At(5));
@@ -137,7 +138,7 @@
         std::vector<AttemptId>{sent[1].attempt, sent[3].attempt});
 }
 
-TEST_CASE("owners get less time than is left") {
+TEST_CASE("owners get less than the remaining time") {
   QueryFixture fixture;
   const Actions actions = fixture.Start();
   for (const Batch& batch : actions.batches) {
@@ -146,7 +147,8 @@
   }
 }
 
-TEST_CASE("the latency policy answers after the soft deadline when enough") {
+TEST_CASE(
+    "the latency policy answers past the soft deadline at minimum coverage") {
   QueryFixture fixture;
   fixture.service().answer_policy = resources::AnswerPolicy::kLatency;
   fixture.service().soft_deadline = milliseconds(50);
@@ -156,14 +158,15 @@
   fixture.Reply(sent[0], test::Rows(sent[0]), At(5));
   fixture.Reply(sent[1], test::Rows(sent[1]), At(5));
   CHECK(!fixture.run->OnTimer(At(50)).outcome.has_value());
-  // Enough only now, past the soft deadline: answered at once.
+  // The coverage reaches the minimum only after the soft deadline: the query
+  // ends at once.
   const Actions last = fixture.Reply(sent[2], test::Rows(sent[2]), At(60));
   CHECK(test::AnswerIn(last).coverage.share == 0.75);
   CHECK(CancelledIn(last) == std::vector<AttemptId>{sent[3].attempt});
 }
 
 TEST_CASE(
-    "the latency policy waits for a whole answer until the soft deadline") {
+    "the latency policy waits for full coverage until the soft deadline") {
   QueryFixture fixture({.partitions = 2});
   fixture.service().answer_policy = resources::AnswerPolicy::kLatency;
   fixture.service().soft_deadline = milliseconds(50);
@@ -174,11 +177,13 @@
   CHECK(test::AnswerIn(fixture.run->OnTimer(At(50))).coverage.share == 0.5);
 }
 
-TEST_CASE("nothing searched: the refusal tells whether anything ran") {
+TEST_CASE(
+    "nothing searched: the refusal states whether an attempt may have run") {
   QueryFixture fixture({.partitions = 1, .replicas = 1});
   const std::vector<Sent> sent = SentIn(fixture.Start());
 
-  SUBCASE("shed unrun: not run, at once, with a time to come back") {
+  SUBCASE(
+      "shed before its start: not run, refused at once with a retry-after") {
     SubqueryReply reply = Outcome(sent[0], SubqueryOutcome::kShed);
     reply.retry_after = milliseconds(700);
     const Actions last = fixture.Reply(sent[0], std::move(reply), At(3));
@@ -187,13 +192,13 @@
     CHECK(refusal.execution == ExecutionState::kNotRun);
     CHECK(refusal.retry_after.value() >= milliseconds(700));
   }
-  SUBCASE("drained unrun: not run") {
+  SUBCASE("refused as draining: not run") {
     const Actions last =
         fixture.Reply(sent[0], SubqueryOutcome::kDraining, At(3));
     CHECK(test::RefusalIn(last).execution == ExecutionState::kNotRun);
     CHECK(test::RefusalIn(last).retry_after.has_value());
   }
-  SUBCASE("expired before its start: not run, 504") {
+  SUBCASE("expired before its start: not run, deadline exceeded") {
     const Actions last =
         fixture.Reply(sent[0], SubqueryOutcome::kExpiredUnstarted, At(990));
     CHECK(test::RefusalIn(last).execution == ExecutionState::kNotRun);
@@ -215,7 +220,8 @@
         fixture.run->OnOwnerLost(sent[0].owner, OwnerLoss::kMayHaveRun, At(3));
     CHECK(test::RefusalIn(last).execution == ExecutionState::kMayHaveRun);
   }
-  SUBCASE("owner never reached: not run, given up when no time is left") {
+  SUBCASE(
+      "owner never reached: not run, refused when too little time remains") {
     Actions last =
         fixture.run->OnOwnerLost(sent[0].owner, OwnerLoss::kNothingSent, At(3));
     while (!last.outcome.has_value()) {
@@ -229,7 +235,7 @@
   }
 }
 
-TEST_CASE("a caller that goes away cancels its subqueries") {
+TEST_CASE("a client that disconnects cancels its subqueries") {
   QueryFixture fixture;
   const std::vector<Sent> sent = SentIn(fixture.Start());
   fixture.Reply(sent[0], test::Rows(sent[0]), At(1));
@@ -240,7 +246,7 @@
   CHECK(!fixture.run->OnTimer(At(1000)).outcome.has_value());
 }
 
-TEST_CASE("no snapshot served: refused, not run, come back") {
+TEST_CASE("no snapshot served: refused as not run, with a retry-after") {
   QueryFixture fixture;
   fixture.view.serving.clear();
   const Refusal refusal = test::RefusalIn(fixture.Start());
@@ -249,21 +255,21 @@
   CHECK(refusal.retry_after.has_value());
 }
 
-TEST_CASE(
-    "wrong snapshot without another holder: the whole query starts over") {
+TEST_CASE("wrong snapshot without another holder: the whole query restarts") {
   QueryFixture fixture({.partitions = 2, .replicas = 1});
   const std::vector<Sent> old = SentIn(fixture.Start());
   fixture.Reply(old[0], test::Rows(old[0]), At(5));
-  // Served by three partitions now; the old version's rows must not be seen.
+  // The new version has three partitions; the answer must not contain rows of
+  // the old version.
   fixture.ServeNext(3);
   const Actions restart =
       fixture.Reply(old[1], SubqueryOutcome::kWrongSnapshot, At(6));
   const std::vector<Sent> fresh = SentIn(restart);
-  // The third partition has no back end: it is missing, honestly.
+  // The third partition has no backend and is reported as missing.
   REQUIRE(fresh.size() == 2);
   CHECK(fresh[0].index_version == 2);
   CHECK(fixture.front.counters.restarts == 1);
-  // A late answer of the old version.
+  // A late result of the old version.
   fixture.Reply(old[1], test::Rows(old[1]), At(7));
   fixture.Reply(fresh[0], test::Rows(fresh[0]), At(8));
   const Actions last = fixture.Reply(fresh[1], test::Rows(fresh[1]), At(9));
@@ -277,7 +283,7 @@
         std::vector<MissingRange>{{{200, 300}, MissingReason::kUnreachable}});
 }
 
-TEST_CASE("wrong snapshot at one replica: another one that holds it is asked") {
+TEST_CASE("wrong snapshot at one replica: another holder gets the subquery") {
   QueryFixture fixture({.partitions = 1, .replicas = 2});
   const std::vector<Sent> sent = SentIn(fixture.Start());
   fixture.ServeNext(1);
@@ -288,7 +294,7 @@
   CHECK(SentIn(again)[0].backend != sent[0].backend);
 }
 
-TEST_CASE("wrong snapshot with no newer one yet: waits for the view") {
+TEST_CASE("wrong snapshot with no newer one yet: waits for a new view") {
   QueryFixture fixture({.partitions = 1, .replicas = 1});
   const std::vector<Sent> sent = SentIn(fixture.Start());
   const Actions waits =
@@ -301,7 +307,8 @@
   CHECK(SentIn(restart)[0].index_version == 2);
 }
 
-TEST_CASE("a drained back end gets nothing, whoever told of the drain") {
+TEST_CASE(
+    "a draining backend gets no subqueries, whatever the drain's source") {
   QueryFixture fixture({.partitions = 1, .replicas = 2});
   const std::string drained = test::BackendName(0, 0);
   SUBCASE("the operator") { fixture.view.backends[drained].drain = true; }
@@ -317,7 +324,7 @@
   }
 }
 
-TEST_CASE("all replicas drain: refused as draining, not run") {
+TEST_CASE("all replicas are draining: refused as draining, not run") {
   QueryFixture fixture({.partitions = 1, .replicas = 1});
   fixture.view.backends[test::BackendName(0, 0)].drain = true;
   const Refusal refusal = test::RefusalIn(fixture.Start());
--- a/test/unit/routing/routing_table_test.cc
+++ b/test/unit/routing/routing_table_test.cc
@@ -1,3 +1,5 @@
+// RoutingTable: a table that reuses routes of the previous view equals a table
+// that is built from the view alone.
 #include "common/routing/routing_table.h"
 
 #include <doctest/doctest.h>
@@ -19,7 +21,8 @@
   return prefix + std::to_string(number);
 }
 
-// A fleet whose every part changes at random.
+// Fleet view with random changes of backends, reports, machines, members and
+// snapshots.
 class ChangingView {
  public:
   ChangingView() {
@@ -130,7 +133,7 @@
 
 }  // namespace
 
-TEST_CASE("routes taken over from the view before are those of a new table") {
+TEST_CASE("routes reused from the previous view equal those of a new table") {
   const Place place{"zone-0", "region-0"};
   NameTable backend_names;
   NameTable owner_names;
@@ -153,7 +156,7 @@
     }
     table = std::move(next);
   }
-  CHECK(kept > 1000);  // else nothing was taken over
+  CHECK(kept > 1000);  // Otherwise the tables reused no routes.
 }
 
 }  // namespace juniperway::routing
