--- a/source/common/routing/admission_limit.cc
+++ b/source/common/routing/admission_limit.cc
@@ -18,7 +18,7 @@
     return;
   }
   if (end == End::kServed && running >= kUsedShare * limit_) {
-    limit_ = std::min(limit_ + 1 / limit_, kHighest);
+    limit_ = std::min(limit_ + 1 / limit_, kMaximumLimit);
   }
   if (began >= last_decrease_) {
     Count(end, running, now);
@@ -28,12 +28,12 @@
 void AdmissionLimit::Count(End end, double running, MonotonicTime now) {
   ++ended_;
   overloaded_ += end == End::kOverloaded ? 1 : 0;
-  const bool overload = overloaded_ >= kOverloadedToFall;
+  const bool overload = overloaded_ >= kOverloadedQueriesToDecrease;
   if (overload) {
-    limit_ = std::max(std::min(limit_, running) * kDecrease, kLowest);
+    limit_ = std::max(std::min(limit_, running) * kDecrease, kMinimumLimit);
     last_decrease_ = now;
   }
-  if (overload || ended_ >= kWindow) {
+  if (overload || ended_ >= kWindowQueries) {
     ended_ = 0;
     overloaded_ = 0;
   }
--- a/source/common/routing/admission_limit.h
+++ b/source/common/routing/admission_limit.h
@@ -22,15 +22,15 @@
  public:
   // Lower bound of the limit, in queries: some queries must run for the front
   // to observe the end of an overload.
-  static constexpr double kLowest = 4;
+  static constexpr double kMinimumLimit = 4;
   // Initial value and upper bound of the limit, in queries.
-  static constexpr double kHighest = 4096;
+  static constexpr double kMaximumLimit = 4096;
   // Factor by which an overload lowers the limit.
   static constexpr double kDecrease = 0.8;
-  // The limit decreases when kOverloadedToFall of at most kWindow ended queries
-  // were overloaded.
-  static constexpr int kOverloadedToFall = 3;
-  static constexpr int kWindow = 50;
+  // The limit decreases when kOverloadedQueriesToDecrease of at most
+  // kWindowQueries ended queries were overloaded.
+  static constexpr int kOverloadedQueriesToDecrease = 3;
+  static constexpr int kWindowQueries = 50;
 
   // Whether one more query may start.
   bool HasRoom() const { return static_cast<double>(running_) < limit_; }
@@ -52,7 +52,7 @@
  private:
   void Count(End end, double running, MonotonicTime now);
 
-  double limit_ = kHighest;
+  double limit_ = kMaximumLimit;
   std::size_t running_ = 0;
   MonotonicTime last_decrease_{};
   // Queries that ended since the last decrease or the last full window, and
--- a/source/common/routing/attempt_log.cc
+++ b/source/common/routing/attempt_log.cc
@@ -7,21 +7,21 @@
   return size() - 1;
 }
 
-ReplyVerdict AttemptLog::Judge(OwnerId owner, AttemptId id) {
+ResultVerdict AttemptLog::Judge(OwnerId owner, AttemptId id) {
   if (id >= attempts_.size() || attempts_[id].owner != owner) {
-    return ReplyVerdict::kForeign;
+    return ResultVerdict::kForeign;
   }
   Attempt& attempt = attempts_[id];
   switch (attempt.status) {
     case AttemptStatus::kOutstanding:
-      return ReplyVerdict::kAccept;
+      return ResultVerdict::kAccept;
     case AttemptStatus::kAnswered:
-      return ReplyVerdict::kDuplicate;
-    case AttemptStatus::kGivenUp:
+      return ResultVerdict::kDuplicate;
+    case AttemptStatus::kAbandoned:
       attempt.status = AttemptStatus::kAnswered;
-      return ReplyVerdict::kLate;
+      return ResultVerdict::kLate;
   }
-  return ReplyVerdict::kForeign;
+  return ResultVerdict::kForeign;
 }
 
 void AttemptLog::MarkProvablyNotRun(AttemptId id) {
@@ -33,8 +33,8 @@
 }
 
 ExecutionState AttemptLog::Execution() const {
-  return CountThatMayHaveRun() == 0 ? ExecutionState::kNotRun
-                                    : ExecutionState::kMayHaveRun;
+  return CountOfPossiblyRun() == 0 ? ExecutionState::kNotRun
+                                   : ExecutionState::kMayHaveRun;
 }
 
 }  // namespace juniperway::routing
--- a/source/common/routing/attempt_log.h
+++ b/source/common/routing/attempt_log.h
@@ -15,7 +15,7 @@
 enum class AttemptStatus : std::uint8_t {
   kOutstanding,
   kAnswered,
-  kGivenUp,  // The front cancelled the attempt or discards its result.
+  kAbandoned,  // The front cancelled the attempt or discards its result.
 };
 
 // One subquery that the front planned or sent to one backend.
@@ -34,7 +34,7 @@
 
 // Whether a result belongs to an outstanding attempt; all but kAccept are
 // discarded.
-enum class ReplyVerdict {
+enum class ResultVerdict {
   kAccept,
   kLate,       // The front abandoned the attempt before.
   kDuplicate,  // The attempt already has a result.
@@ -51,7 +51,7 @@
 
   // Classifies a result that `owner` sent for attempt `id`. The first result
   // for an abandoned attempt is late, each further one is a duplicate.
-  ReplyVerdict Judge(OwnerId owner, AttemptId id);
+  ResultVerdict Judge(OwnerId owner, AttemptId id);
 
   void MarkProvablyNotRun(AttemptId id);
 
@@ -59,7 +59,7 @@
   //   else kMayHaveRun.
   ExecutionState Execution() const;
   // Number of attempts that are not provably not run.
-  AttemptId CountThatMayHaveRun() const { return size() - provably_not_run_; }
+  AttemptId CountOfPossiblyRun() const { return size() - provably_not_run_; }
 
  private:
   std::vector<Attempt> attempts_;
--- a/source/common/routing/backend_states.cc
+++ b/source/common/routing/backend_states.cc
@@ -10,14 +10,14 @@
 constexpr double kSampleWeight = 0.2;
 // Without new samples the average decays to the prior with this time constant,
 // so that a replica that was slow gets subqueries again.
-constexpr Duration kLatencyMemory = seconds(10);
+constexpr Duration kLatencyDecayTime = seconds(10);
 // Penalty on the expected latency for each failure in a row. A failing replica
 // that the bound on ejections keeps in selection is thereby chosen last. The
 // penalty decays.
 constexpr double kFailurePenaltyUs = 20000;
-constexpr Duration kFailureMemory = seconds(5);
+constexpr Duration kFailureDecayTime = seconds(5);
 // The weight of a reported load falls linearly to 0 over this time.
-constexpr Duration kLoadMemory = milliseconds(500);
+constexpr Duration kLoadTimeToLive = milliseconds(500);
 // Expected latency before the first sample: a short search plus the typical
 // round-trip time to that locality.
 constexpr double kPriorSameZoneUs = 2000;
@@ -41,8 +41,8 @@
 }
 
 // Exponential decay: 1 at age 0, falling towards 0.
-double Faded(Duration age, Duration memory) {
-  return std::exp(-Ratio(age, memory));
+double DecayWeight(Duration age, Duration decay_time) {
+  return std::exp(-Ratio(age, decay_time));
 }
 
 }  // namespace
@@ -102,12 +102,13 @@
 void BackendStates::Open(State& state, MonotonicTime now) {
   state.open = true;
   state.probing = false;
-  state.open_for = std::clamp(2 * state.open_for, kShortestOpen, kLongestOpen);
+  state.open_for =
+      std::clamp(2 * state.open_for, kMinimumOpenTime, kMaximumOpenTime);
   state.open_until = now + state.open_for;
 }
 
 void BackendStates::OnDraining(BackendId backend, MonotonicTime now) {
-  Get(backend).draining_until = now + kDrainMemory;
+  Get(backend).draining_until = now + kDrainTimeToLive;
 }
 
 void BackendStates::OnProbe(BackendId backend) { Get(backend).probing = true; }
@@ -148,12 +149,12 @@
   double latency = prior;
   if (state->latency_us > 0) {
     latency += (state->latency_us - prior) *
-               Faded(now - state->latency_at, kLatencyMemory);
+               DecayWeight(now - state->latency_at, kLatencyDecayTime);
   }
   if (state->failures_in_a_row > 0) {
     const auto failures = std::min(state->failures_in_a_row, kFailuresToOpen);
     latency += failures * kFailurePenaltyUs *
-               Faded(now - state->failed_at, kFailureMemory);
+               DecayWeight(now - state->failed_at, kFailureDecayTime);
   }
   return latency;
 }
@@ -164,7 +165,7 @@
     return 0;
   }
   const double freshness =
-      std::max(0.0, 1.0 - Ratio(now - state->load_at, kLoadMemory));
+      std::max(0.0, 1.0 - Ratio(now - state->load_at, kLoadTimeToLive));
   return std::max(static_cast<double>(state->outstanding),
                   state->load * freshness);
 }
--- a/source/common/routing/backend_states.h
+++ b/source/common/routing/backend_states.h
@@ -3,7 +3,7 @@
 // that the front itself sends.
 //
 // kFailuresToOpen failures in a row open the breaker of a backend. After a
-// backoff, which doubles with each opening up to kLongestOpen, the breaker
+// backoff, which doubles with each opening up to kMaximumOpenTime, the breaker
 // admits one probe. A successful probe closes the breaker, a failed one opens
 // it again.
 #pragma once
@@ -22,11 +22,11 @@
 class BackendStates {
  public:
   static constexpr std::uint32_t kFailuresToOpen = 5;
-  static constexpr Duration kShortestOpen = seconds(1);
-  static constexpr Duration kLongestOpen = seconds(30);
+  static constexpr Duration kMinimumOpenTime = seconds(1);
+  static constexpr Duration kMaximumOpenTime = seconds(30);
   // How long a drain that a result reported is used. The fleet view contains
   // the drain by then.
-  static constexpr Duration kDrainMemory = seconds(10);
+  static constexpr Duration kDrainTimeToLive = seconds(10);
 
   // --- Observations ---
   // A subquery was sent and is outstanding.
@@ -57,7 +57,7 @@
   // kEjected: the backend gets no subqueries.
   enum class Admission { kOpen, kProbe, kEjected };
   Admission AdmissionOf(BackendId backend, MonotonicTime now) const;
-  // Whether a result reported a drain within the last kDrainMemory.
+  // Whether a result reported a drain within the last kDrainTimeToLive.
   bool IsDraining(BackendId backend, MonotonicTime now) const;
   // When the breaker admits the next probe; 0 if the breaker never opened.
   MonotonicTime EjectedUntil(BackendId backend) const;
--- a/source/common/routing/front_state.h
+++ b/source/common/routing/front_state.h
@@ -42,7 +42,7 @@
   std::uint64_t budget_refusals = 0;
   // Queries refused because their service's admission limit was reached.
   std::uint64_t admission_refusals = 0;
-  // Discarded results; see ReplyVerdict.
+  // Discarded results; see ResultVerdict.
   std::uint64_t late_results = 0;
   std::uint64_t duplicate_results = 0;
   std::uint64_t foreign_results = 0;
--- a/source/common/routing/latency_tracker.cc
+++ b/source/common/routing/latency_tracker.cc
@@ -12,8 +12,8 @@
 
 void LatencyTracker::Record(Duration latency) {
   ++counts_[BucketOf(latency)];
-  if (++total_ >= kFadeAt) {
-    Fade();
+  if (++total_ >= kDecayThreshold) {
+    HalveCounts();
   }
 }
 
@@ -35,9 +35,10 @@
 }
 
 std::size_t LatencyTracker::BucketOf(Duration latency) {
-  const Duration bounded = std::clamp(latency, kLowest, kHighest);
+  const Duration bounded =
+      std::clamp(latency, kMinimumLatency, kMaximumLatency);
   const double ratio = static_cast<double>(bounded.count()) /
-                       static_cast<double>(kLowest.count());
+                       static_cast<double>(kMinimumLatency.count());
   const auto bucket =
       static_cast<std::size_t>(std::log(ratio) / std::log(kBucketRatio));
   return std::min(bucket, kBuckets - 1);
@@ -45,12 +46,12 @@
 
 Duration LatencyTracker::MiddleOf(std::size_t bucket) {
   const double exponent = static_cast<double>(bucket) + 0.5;
-  const double value =
-      static_cast<double>(kLowest.count()) * std::pow(kBucketRatio, exponent);
+  const double value = static_cast<double>(kMinimumLatency.count()) *
+                       std::pow(kBucketRatio, exponent);
   return Duration(std::llround(value));
 }
 
-void LatencyTracker::Fade() {
+void LatencyTracker::HalveCounts() {
   total_ = 0;
   for (std::uint32_t& count : counts_) {
     count /= 2;
--- a/source/common/routing/latency_tracker.h
+++ b/source/common/routing/latency_tracker.h
@@ -1,9 +1,9 @@
 // Streaming quantiles of a service's subquery latency, used for the hedge
 // delay. The tracker keeps a logarithmic histogram and halves all counts
-// whenever their sum reaches kFadeAt, so that old samples lose weight. Each
-// bucket is 5 % wide and a quantile is the geometric middle of its bucket: the
-// relative error is at most 2.5 % between kLowest and kHighest. Latencies
-// outside are clamped.
+// whenever their sum reaches kDecayThreshold, so that old samples lose weight.
+// Each bucket is 5 % wide and a quantile is the geometric middle of its bucket:
+// the relative error is at most 2.5 % between kMinimumLatency and
+// kMaximumLatency. Latencies outside are clamped.
 #pragma once
 
 #include <array>
@@ -18,12 +18,12 @@
 // Owned by a ServiceState, one per service and front.
 class LatencyTracker {
  public:
-  static constexpr Duration kLowest = microseconds(50);
-  static constexpr Duration kHighest = seconds(60);
+  static constexpr Duration kMinimumLatency = microseconds(50);
+  static constexpr Duration kMaximumLatency = seconds(60);
   // Quantile returns nothing below this many samples.
   static constexpr std::uint64_t kMinimumSamples = 32;
   // Sum of the counts at which they are halved.
-  static constexpr std::uint64_t kFadeAt = 8192;
+  static constexpr std::uint64_t kDecayThreshold = 8192;
 
   // @param latency of an answered subquery, or the time that the front had
   //   waited for an abandoned one. The wait is a lower bound of the latency;
@@ -35,12 +35,12 @@
   std::optional<Duration> Quantile(double quantile) const;
 
  private:
-  // ln(kHighest / kLowest) / ln(1.05), rounded up.
+  // ln(kMaximumLatency / kMinimumLatency) / ln(1.05), rounded up.
   static constexpr std::size_t kBuckets = 288;
 
   static std::size_t BucketOf(Duration latency);
   static Duration MiddleOf(std::size_t bucket);
-  void Fade();
+  void HalveCounts();
 
   std::array<std::uint32_t, kBuckets> counts_{};
   std::uint64_t total_ = 0;
--- a/source/common/routing/owner_states.h
+++ b/source/common/routing/owner_states.h
@@ -1,6 +1,6 @@
 // Tracks which owners one front has lost its connection to. The replica
 // selector avoids their backends until the connection is established again or
-// kDownMemory has passed.
+// kDownTimeToLive has passed.
 #pragma once
 
 #include <vector>
@@ -14,13 +14,13 @@
 class OwnerStates {
  public:
   // How long a lost connection counts against its owner.
-  static constexpr Duration kDownMemory = seconds(1);
+  static constexpr Duration kDownTimeToLive = seconds(1);
 
   void OnLost(OwnerId owner, MonotonicTime now) {
     if (owner >= down_until_.size()) {
       down_until_.resize(owner + 1);
     }
-    down_until_[owner] = now + kDownMemory;
+    down_until_[owner] = now + kDownTimeToLive;
   }
   void OnConnected(OwnerId owner) {
     if (owner < down_until_.size()) {
--- a/source/common/routing/ownership.cc
+++ b/source/common/routing/ownership.cc
@@ -11,11 +11,11 @@
   const session::Member* best = nullptr;
   std::uint64_t best_weight = 0;
   for (const auto& [daemon_id, member] : view.members) {
-    if (!MayOwn(member) || member.zone != zone) {
+    if (!CanOwnBackends(member) || member.zone != zone) {
       continue;
     }
     const std::uint64_t weight = OwnerWeightOf(backend, OwnerSeedOf(daemon_id));
-    if (OwnsBefore(weight, member, best_weight, best)) {
+    if (TakesPrecedence(weight, member, best_weight, best)) {
       best = &member;
       best_weight = weight;
     }
@@ -26,13 +26,13 @@
 OwnershipTable::OwnershipTable(session::FleetViewPointer view,
                                const OwnershipTable* previous)
     : view_(std::move(view)) {
-  static const session::FleetView kNothing;
+  static const session::FleetView kEmptyView;
   static const ZoneOwners kEmptyZone;
   if (previous != nullptr) {
     zones_ = previous->zones_;
   }
   const ZoneChanges changes =
-      ChangesOf(previous == nullptr ? kNothing : *previous->view_, *view_);
+      ChangesOf(previous == nullptr ? kEmptyView : *previous->view_, *view_);
   for (const auto& [zone, change] : changes) {
     std::shared_ptr<const ZoneOwners>& owners = zones_[zone];
     owners = std::make_shared<const ZoneOwners>(
@@ -51,13 +51,13 @@
       [&changes](const std::string& daemon_id,
                  const session::Member* old_member,
                  const session::Member* new_member) {
-        const bool owned = old_member != nullptr && MayOwn(*old_member);
-        const bool owns = new_member != nullptr && MayOwn(*new_member);
+        const bool owned = old_member != nullptr && CanOwnBackends(*old_member);
+        const bool owns = new_member != nullptr && CanOwnBackends(*new_member);
         if (owned && !(owns && new_member->zone == old_member->zone)) {
           changes[old_member->zone].removed_members.push_back(daemon_id);
         }
         if (owns) {
-          changes[new_member->zone].set_members.push_back(
+          changes[new_member->zone].upserted_members.push_back(
               std::make_shared<const session::Member>(*new_member));
         }
       });
--- a/source/common/routing/query_run.cc
+++ b/source/common/routing/query_run.cc
@@ -12,11 +12,11 @@
 
 // Owners get this much less time than remains until the deadline, so that a
 // result sent at the end of that time still arrives. The margin is at most
-// 1 / kHopMarginShare of the remaining time.
+// 1 / kHopMarginDivisor of the remaining time.
 constexpr Duration kHopMargin = milliseconds(2);
-constexpr int kHopMarginShare = 10;
+constexpr int kHopMarginDivisor = 10;
 // Lower bound of the hedge delay, also when the latency quantile is lower.
-constexpr Duration kShortestHedgeDelay = milliseconds(1);
+constexpr Duration kMinimumHedgeDelay = milliseconds(1);
 // Retry-after for clients of a service that serves no snapshot.
 constexpr Duration kNoSnapshotRetryAfter = seconds(1);
 
@@ -25,12 +25,12 @@
 QueryRun::QueryRun(QueryRequest request, FrontState& front)
     : request_(std::move(request)),
       front_(front),
-      shared_(front.services[request_.service]),
+      service_state_(front.services[request_.service]),
       next_timer_(request_.deadline) {}
 
 Actions QueryRun::Start(MonotonicTime now) {
   Actions actions;
-  if (!Pin()) {
+  if (!PinSnapshot()) {
     const Error error{ErrorCode::kUnavailable, "",
                       "the service does not serve an index snapshot yet"};
     actions.outcome = Refusal{error, ExecutionState::kNotRun,
@@ -38,81 +38,84 @@
     finished_ = true;
     return actions;
   }
-  Split();
-  LearnHedgeDelay();
-  SendFirsts(now, actions);
+  SplitByPartition();
+  UpdateHedgeDelay();
+  SendFirstSubqueries(now, actions);
   if (service_->answer_policy == resources::AnswerPolicy::kLatency) {
-    WakeAt(request_.received + service_->soft_deadline);
+    ScheduleTimer(request_.received + service_->soft_deadline);
   }
-  Settle(now, actions);
+  RestartOrFinish(now, actions);
   return actions;
 }
 
-void QueryRun::FollowView() {
+void QueryRun::UpdateRoutes() {
   if (routes_ != front_.routes) {
     routes_ = front_.routes;
-    current_ = routes_->Route(request_.service, pinned_->index_version);
+    current_route_ =
+        routes_->Route(request_.service, pinned_route_->index_version);
   }
 }
 
-bool QueryRun::Pin() {
+bool QueryRun::PinSnapshot() {
   routes_ = front_.routes;
   pinned_view_ = front_.routes->view_pointer();
   service_ = front_.routes->FindService(request_.service);
   CHECK(service_ != nullptr)
       << "a query was admitted for a service that the view does not contain";
-  pinned_ = front_.routes->Serving(request_.service);
-  current_ = pinned_;
-  if (pinned_ == nullptr) {
+  pinned_route_ = front_.routes->Serving(request_.service);
+  current_route_ = pinned_route_;
+  if (pinned_route_ == nullptr) {
     return false;
   }
-  const KeyRange extent = pinned_->Extent();
-  asked_ = request_.range.value_or(extent).Intersection(extent);
-  if (asked_.empty()) {
-    asked_ = {};
+  const KeyRange extent = pinned_route_->Extent();
+  requested_range_ = request_.range.value_or(extent).Intersection(extent);
+  if (requested_range_.empty()) {
+    requested_range_ = {};
   }
   return true;
 }
 
-void QueryRun::Split() {
+void QueryRun::SplitByPartition() {
   partitions_.clear();
   searched_width_ = 0;
-  const auto& routes = pinned_->partitions;
+  const auto& routes = pinned_route_->partitions;
   const auto first = std::ranges::upper_bound(
-      routes, asked_.begin, {},
+      routes, requested_range_.begin, {},
       [](const PartitionRoute& route) { return route.range.end; });
   for (auto route = first;
-       route != routes.end() && route->range.begin < asked_.end; ++route) {
+       route != routes.end() && route->range.begin < requested_range_.end;
+       ++route) {
     PartitionState partition;
     partition.route_index = static_cast<std::uint32_t>(route - routes.begin());
-    partition.range = route->range.Intersection(asked_);
+    partition.range = route->range.Intersection(requested_range_);
     partitions_.push_back(std::move(partition));
   }
   pending_ = partitions_.size();
 }
 
-void QueryRun::LearnHedgeDelay() {
+void QueryRun::UpdateHedgeDelay() {
   hedge_delay_.reset();
   if (!request_.repeatable || !service_->hedging) {
     return;
   }
-  const auto quantile = shared_.latency.Quantile(service_->hedge_quantile);
+  const auto quantile =
+      service_state_.latency.Quantile(service_->hedge_quantile);
   if (quantile.has_value()) {
-    hedge_delay_ = std::max(*quantile, kShortestHedgeDelay);
+    hedge_delay_ = std::max(*quantile, kMinimumHedgeDelay);
   }
 }
 
-void QueryRun::SendFirsts(MonotonicTime now, Actions& actions) {
+void QueryRun::SendFirstSubqueries(MonotonicTime now, Actions& actions) {
   for (PartitionState& partition : partitions_) {
     if (!Send(partition, SendKind::kFirst, now, actions)) {
-      MarkMissing(partition, WhyUnsent(partition, now));
+      MarkMissing(partition, ReasonUnsent(partition, now));
     }
   }
 }
 
-MissingReason QueryRun::WhyUnsent(const PartitionState& partition,
-                                  MonotonicTime now) const {
-  if (RemainingForOwner(now) < kShortestUsefulTime) {
+MissingReason QueryRun::ReasonUnsent(const PartitionState& partition,
+                                     MonotonicTime now) const {
+  if (RemainingTimeForOwner(now) < kMinimumUsefulTime) {
     return MissingReason::kDeadline;
   }
   const PartitionRoute* route = CurrentRoute(partition);
@@ -120,20 +123,20 @@
   return all_draining ? MissingReason::kDraining : MissingReason::kUnreachable;
 }
 
-bool QueryRun::RestartAllowed(MonotonicTime now) const {
+bool QueryRun::CanRestart(MonotonicTime now) const {
   const auto& serving = front_.routes->view().serving;
   const auto newest = serving.find(request_.service);
   const bool newer =
-      newest != serving.end() && newest->second > pinned_->index_version;
-  const bool safe =
-      request_.repeatable || attempts_.Execution() == ExecutionState::kNotRun;
+      newest != serving.end() && newest->second > pinned_route_->index_version;
+  const bool safe = request_.repeatable ||
+                    attempt_log_.Execution() == ExecutionState::kNotRun;
   return newer && safe && restarts_ < kMaximumRestarts &&
-         now + kShortestUsefulTime < request_.deadline;
+         now + kMinimumUsefulTime < request_.deadline;
 }
 
 void QueryRun::TryRestart(MonotonicTime now, Actions& actions) {
   restart_wanted_ = false;
-  if (!RestartAllowed(now)) {
+  if (!CanRestart(now)) {
     return;
   }
   if (front_.routes->Serving(request_.service) == nullptr) {
@@ -142,19 +145,20 @@
   CancelAll(now, actions);
   // The attempts on the earlier snapshot are wasted work, which the retry
   // budget is charged for.
-  shared_.budget.Charge(attempts_.CountThatMayHaveRun() - charged_attempts_);
-  charged_attempts_ = attempts_.CountThatMayHaveRun();
+  service_state_.budget.Charge(attempt_log_.CountOfPossiblyRun() -
+                               charged_attempts_);
+  charged_attempts_ = attempt_log_.CountOfPossiblyRun();
   ++restarts_;
   ++front_.counters.restarts;
-  Pin();
-  Split();
-  LearnHedgeDelay();
-  SendFirsts(now, actions);
+  PinSnapshot();
+  SplitByPartition();
+  UpdateHedgeDelay();
+  SendFirstSubqueries(now, actions);
 }
 
 bool QueryRun::Send(PartitionState& partition, SendKind kind, MonotonicTime now,
                     Actions& actions) {
-  if (RemainingForOwner(now) < kShortestUsefulTime) {
+  if (RemainingTimeForOwner(now) < kMinimumUsefulTime) {
     return false;
   }
   const std::optional<ReplicaChoice> choice = Choose(partition, kind, now);
@@ -167,7 +171,7 @@
     // The hedge would only queue there and delay other subqueries.
     return false;
   }
-  if (!Pay(kind, now)) {
+  if (!TryChargeBudget(kind, now)) {
     return false;
   }
   Record(partition, *choice, kind, now, actions);
@@ -183,12 +187,12 @@
   }
   excluded_.clear();
   for (const AttemptId id : partition.attempts) {
-    excluded_.push_back(attempts_.Get(id).backend);
+    excluded_.push_back(attempt_log_.Get(id).backend);
   }
   ReplicaRequest request{*route, service_->maximum_ejected_share, excluded_,
                          std::nullopt, request_.repeatable};
   if (!partition.attempts.empty()) {
-    request.avoided_owner = attempts_.Get(partition.attempts.back()).owner;
+    request.avoided_owner = attempt_log_.Get(partition.attempts.back()).owner;
   }
   auto choice = front_.Choose(request, now);
   const bool waited = partition.resend_at.has_value();
@@ -202,21 +206,23 @@
 
 const PartitionRoute* QueryRun::CurrentRoute(
     const PartitionState& partition) const {
-  if (current_ == nullptr ||
-      partition.route_index >= current_->partitions.size()) {
+  if (current_route_ == nullptr ||
+      partition.route_index >= current_route_->partitions.size()) {
     return nullptr;
   }
-  const PartitionRoute& pinned = pinned_->partitions[partition.route_index];
-  const PartitionRoute& route = current_->partitions[partition.route_index];
+  const PartitionRoute& pinned =
+      pinned_route_->partitions[partition.route_index];
+  const PartitionRoute& route =
+      current_route_->partitions[partition.route_index];
   const bool same = route.range == pinned.range && route.shard == pinned.shard;
   return same ? &route : nullptr;
 }
 
-bool QueryRun::Pay(SendKind kind, MonotonicTime now) {
+bool QueryRun::TryChargeBudget(SendKind kind, MonotonicTime now) {
   switch (kind) {
     case SendKind::kFirst:
       if (restarts_ == 0) {
-        shared_.budget.Deposit(service_->retry_budget, now);
+        service_state_.budget.Deposit(service_->retry_budget, now);
         ++front_.counters.first_subqueries;
       } else {
         ++front_.counters.restarted_subqueries;
@@ -229,7 +235,7 @@
     case SendKind::kRetry:
       break;
   }
-  if (!shared_.budget.TryWithdraw()) {
+  if (!service_state_.budget.TryWithdraw()) {
     ++front_.counters.budget_refusals;
     return false;
   }
@@ -249,7 +255,7 @@
   attempt.owner = replica.owner;
   attempt.sent_at = now;
   attempt.probe = choice.probe;
-  const AttemptId id = attempts_.Add(attempt);
+  const AttemptId id = attempt_log_.Add(attempt);
   partition.attempts.push_back(id);
   ++partition.outstanding;
   partition.resend_at.reset();
@@ -261,12 +267,13 @@
       kind != SendKind::kHedge && partition.hedges < kMaximumHedges;
   if (may_hedge && hedge_delay_.has_value()) {
     partition.hedge_at = now + *hedge_delay_;
-    WakeAt(*partition.hedge_at);
+    ScheduleTimer(*partition.hedge_at);
   }
   Batch& batch = BatchFor(replica.owner, now, actions);
-  batch.subqueries.push_back({id, front_.backend_names.NameOf(replica.backend),
-                              pinned_->partitions[partition.route_index].shard,
-                              partition.range});
+  batch.subqueries.push_back(
+      {id, front_.backend_names.NameOf(replica.backend),
+       pinned_route_->partitions[partition.route_index].shard,
+       partition.range});
 }
 
 Batch& QueryRun::BatchFor(OwnerId owner, MonotonicTime now, Actions& actions) {
@@ -276,20 +283,20 @@
   }
   Batch batch;
   batch.owner = owner;
-  batch.index_version = pinned_->index_version;
+  batch.index_version = pinned_route_->index_version;
   // One more row than requested shows whether the answer is truncated.
   batch.row_limit = request_.row_limit + 1;
-  batch.remaining = RemainingForOwner(now);
+  batch.remaining = RemainingTimeForOwner(now);
   actions.batches.push_back(std::move(batch));
   return actions.batches.back();
 }
 
-Duration QueryRun::RemainingForOwner(MonotonicTime now) const {
+Duration QueryRun::RemainingTimeForOwner(MonotonicTime now) const {
   const Duration left = request_.deadline - now;
-  return left - std::min(kHopMargin, left / kHopMarginShare);
+  return left - std::min(kHopMargin, left / kHopMarginDivisor);
 }
 
-void QueryRun::WakeAt(MonotonicTime time) {
+void QueryRun::ScheduleTimer(MonotonicTime time) {
   next_timer_ = std::min(next_timer_, time);
 }
 
--- a/source/common/routing/query_run.h
+++ b/source/common/routing/query_run.h
@@ -40,7 +40,7 @@
   // Maximum restarts of one query on a newer snapshot.
   static constexpr std::uint8_t kMaximumRestarts = 3;
   // QueryRun sends nothing when less time than this remains.
-  static constexpr Duration kShortestUsefulTime = microseconds(500);
+  static constexpr Duration kMinimumUsefulTime = microseconds(500);
 
   // @param front must outlive the run; its view must know the service.
   QueryRun(QueryRequest request, FrontState& front);
@@ -93,7 +93,7 @@
     std::uint8_t reroutes = 0;
     // A backend without free slots shed the subquery or let it expire
     // unstarted.
-    bool shed_by_load = false;
+    bool shed_by_busy_backend = false;
     std::optional<MonotonicTime> hedge_at;
     // When to send the partition again, as `resend_kind`; empty when no resend
     // is scheduled.
@@ -103,18 +103,18 @@
 
   // --- Start ---
   // Takes over the front's newest routing table.
-  void FollowView();
+  void UpdateRoutes();
   // Pins the snapshot that the service serves.
   // @return false when the service serves no snapshot.
-  bool Pin();
+  bool PinSnapshot();
   // Creates the partition states of the requested range.
-  void Split();
-  void SendFirsts(MonotonicTime now, Actions& actions);
-  MissingReason WhyUnsent(const PartitionState& partition,
-                          MonotonicTime now) const;
-  void LearnHedgeDelay();
+  void SplitByPartition();
+  void SendFirstSubqueries(MonotonicTime now, Actions& actions);
+  MissingReason ReasonUnsent(const PartitionState& partition,
+                             MonotonicTime now) const;
+  void UpdateHedgeDelay();
   void TryRestart(MonotonicTime now, Actions& actions);
-  bool RestartAllowed(MonotonicTime now) const;
+  bool CanRestart(MonotonicTime now) const;
 
   // --- Sending ---
   // Chooses a replica and adds the subquery to `actions`.
@@ -128,68 +128,68 @@
   const PartitionRoute* CurrentRoute(const PartitionState& partition) const;
   // Counts the attempt and adds or takes its retry budget.
   // @return false when the budget refuses the attempt.
-  bool Pay(SendKind kind, MonotonicTime now);
+  bool TryChargeBudget(SendKind kind, MonotonicTime now);
   Batch& BatchFor(OwnerId owner, MonotonicTime now, Actions& actions);
   void Record(PartitionState& partition, const ReplicaChoice& choice,
               SendKind kind, MonotonicTime now, Actions& actions);
   // Time until the deadline minus the margin for the result's way back.
-  Duration RemainingForOwner(MonotonicTime now) const;
+  Duration RemainingTimeForOwner(MonotonicTime now) const;
   void Hedge(PartitionState& partition, MonotonicTime now, Actions& actions);
   void Resend(PartitionState& partition, MonotonicTime now, Actions& actions);
-  void WaitToResend(PartitionState& partition, SendKind kind,
-                    MonotonicTime now);
+  void ScheduleResend(PartitionState& partition, SendKind kind,
+                      MonotonicTime now);
 
   // --- Results ---
   void OnReply(OwnerId owner, SubqueryReply& reply, MonotonicTime now,
                Actions& actions);
   void CloseAttempt(AttemptId id);
-  void LoseAttempt(AttemptId id, OwnerLoss loss, MonotonicTime now,
-                   Actions& actions);
+  void OnAttemptLost(AttemptId id, OwnerLoss loss, MonotonicTime now,
+                     Actions& actions);
   void OnRows(PartitionState& partition, SubqueryReply& reply,
               MonotonicTime now, Actions& actions);
   void OnFailure(PartitionState& partition, SubqueryOutcome outcome,
                  MonotonicTime now, Actions& actions);
-  void TakeRows(PartitionState& partition, SubqueryReply& reply);
-  void LearnFrom(const Attempt& attempt, const SubqueryReply& reply,
-                 MonotonicTime now);
+  void StoreRows(PartitionState& partition, SubqueryReply& reply);
+  void RecordObservations(const Attempt& attempt, const SubqueryReply& reply,
+                          MonotonicTime now);
   // Sends a failed partition to another replica, or schedules a resend.
-  void SendAgain(PartitionState& partition, SendKind kind, MonotonicTime now,
-                 Actions& actions);
-  bool MaySendAgain(const PartitionState& partition, SendKind kind) const;
+  void SendAgainOrSchedule(PartitionState& partition, SendKind kind,
+                           MonotonicTime now, Actions& actions);
+  bool CanSendAgain(const PartitionState& partition, SendKind kind) const;
   bool MayHaveRun(const PartitionState& partition) const;
   void MarkMissing(PartitionState& partition, MissingReason reason);
 
   // --- End ---
   // Restarts the query if that was requested, and ends it if its answer is due.
-  void Settle(MonotonicTime now, Actions& actions);
+  void RestartOrFinish(MonotonicTime now, Actions& actions);
   bool IsAnswerDue(MonotonicTime now) const;
   void Finish(MonotonicTime now, Actions& actions);
   void CancelAll(MonotonicTime now, Actions& actions);
   // Removes the batches planned in this call, which have not left the process.
-  void Unsend(Actions& actions);
-  void GiveUp(AttemptId id, MonotonicTime now, Actions& actions);
+  void DropPlannedBatches(Actions& actions);
+  void AbandonAttempt(AttemptId id, MonotonicTime now, Actions& actions);
   // Records the wait for an attempt that ended without a result, and a failure
   // of the backend if the wait was too long.
-  void LearnFromSilence(const Attempt& attempt, MonotonicTime now);
+  void RecordUnansweredAttempt(const Attempt& attempt, MonotonicTime now);
   Answer MakeAnswer();
   Refusal MakeRefusal(MonotonicTime now);
   Duration Jittered(Duration duration);
-  void WakeAt(MonotonicTime time);
+  void ScheduleTimer(MonotonicTime time);
 
   QueryRequest request_;
   FrontState& front_;
-  ServiceState& shared_;
+  ServiceState& service_state_;
   session::FleetViewPointer pinned_view_;
   const resources::Service* service_ = nullptr;
-  SnapshotRoutePointer pinned_;
+  SnapshotRoutePointer pinned_route_;
   // The newest routing table, and its routes of the pinned version (null when
   // the view no longer has that version). The replicas change with the view
   // while the partitions stay those of the pinned snapshot.
   std::shared_ptr<RoutingTable> routes_;
-  SnapshotRoutePointer current_;
-  KeyRange asked_;
+  SnapshotRoutePointer current_route_;
+  KeyRange requested_range_;
   std::vector<PartitionState> partitions_;
-  AttemptLog attempts_;
+  AttemptLog attempt_log_;
   std::size_t pending_ = 0;
   Key searched_width_ = 0;
   std::uint8_t restarts_ = 0;
--- a/source/common/routing/query_run_outcome.cc
+++ b/source/common/routing/query_run_outcome.cc
@@ -13,7 +13,7 @@
 // Minimum retry-after of a refusal, by its reason. A longer hint from an owner
 // takes precedence.
 constexpr Duration kShedRetryAfter = milliseconds(100);
-constexpr Duration kMovingRetryAfter = milliseconds(200);
+constexpr Duration kRelocationRetryAfter = milliseconds(200);
 constexpr Duration kFailureRetryAfter = seconds(1);
 
 Duration RetryAfterOf(MissingReason reason) {
@@ -23,7 +23,7 @@
       return kShedRetryAfter;
     case MissingReason::kDraining:
     case MissingReason::kWrongSnapshot:
-      return kMovingRetryAfter;
+      return kRelocationRetryAfter;
     case MissingReason::kLost:
     case MissingReason::kUnreachable:
       return kFailureRetryAfter;
@@ -37,13 +37,13 @@
   Actions actions;
   if (!finished_) {
     CancelAll(now, actions);
-    actions.outcome = Abandoned{attempts_.Execution()};
+    actions.outcome = Abandoned{attempt_log_.Execution()};
     finished_ = true;
   }
   return actions;
 }
 
-void QueryRun::Settle(MonotonicTime now, Actions& actions) {
+void QueryRun::RestartOrFinish(MonotonicTime now, Actions& actions) {
   if (finished_) {
     return;
   }
@@ -62,8 +62,9 @@
   const bool may_be_partial =
       service_->answer_policy == resources::AnswerPolicy::kLatency &&
       now >= request_.received + service_->soft_deadline;
-  const double share = static_cast<double>(searched_width_) /
-                       static_cast<double>(asked_.end - asked_.begin);
+  const double share =
+      static_cast<double>(searched_width_) /
+      static_cast<double>(requested_range_.end - requested_range_.begin);
   return may_be_partial && searched_width_ > 0 &&
          share >= service_->minimum_coverage;
 }
@@ -87,22 +88,22 @@
 }
 
 void QueryRun::CancelAll(MonotonicTime now, Actions& actions) {
-  Unsend(actions);
-  for (AttemptId id = 0; id < attempts_.size(); ++id) {
-    if (attempts_.Get(id).status == AttemptStatus::kOutstanding) {
-      GiveUp(id, now, actions);
+  DropPlannedBatches(actions);
+  for (AttemptId id = 0; id < attempt_log_.size(); ++id) {
+    if (attempt_log_.Get(id).status == AttemptStatus::kOutstanding) {
+      AbandonAttempt(id, now, actions);
     }
   }
 }
 
 // The batches planned during this call have not been sent, so that dropping
 // them needs no cancellation.
-void QueryRun::Unsend(Actions& actions) {
+void QueryRun::DropPlannedBatches(Actions& actions) {
   for (const Batch& batch : actions.batches) {
     for (const PlannedSubquery& subquery : batch.subqueries) {
-      Attempt& attempt = attempts_.Get(subquery.attempt_id);
-      attempts_.MarkProvablyNotRun(subquery.attempt_id);
-      attempt.status = AttemptStatus::kGivenUp;
+      Attempt& attempt = attempt_log_.Get(subquery.attempt_id);
+      attempt_log_.MarkProvablyNotRun(subquery.attempt_id);
+      attempt.status = AttemptStatus::kAbandoned;
       --partitions_[attempt.partition].outstanding;
       front_.backends.OnDone(attempt.backend);
       if (attempt.probe) {
@@ -113,12 +114,13 @@
   actions.batches.clear();
 }
 
-void QueryRun::GiveUp(AttemptId id, MonotonicTime now, Actions& actions) {
-  Attempt& attempt = attempts_.Get(id);
-  attempt.status = AttemptStatus::kGivenUp;
+void QueryRun::AbandonAttempt(AttemptId id, MonotonicTime now,
+                              Actions& actions) {
+  Attempt& attempt = attempt_log_.Get(id);
+  attempt.status = AttemptStatus::kAbandoned;
   --partitions_[attempt.partition].outstanding;
   front_.backends.OnDone(attempt.backend);
-  LearnFromSilence(attempt, now);
+  RecordUnansweredAttempt(attempt, now);
   const auto known = std::ranges::find(actions.cancellations, attempt.owner,
                                        &Cancellation::owner);
   if (known != actions.cancellations.end()) {
@@ -135,7 +137,7 @@
   const bool some_shed =
       std::ranges::any_of(partitions_, [](const PartitionState& partition) {
         return partition.status == PartitionStatus::kMissing &&
-               partition.shed_by_load;
+               partition.shed_by_busy_backend;
       });
   const auto* answer = std::get_if<Answer>(&outcome);
   const double wanted =
@@ -152,7 +154,7 @@
 
 Answer QueryRun::MakeAnswer() {
   Answer answer;
-  answer.index_version = pinned_->index_version;
+  answer.index_version = pinned_route_->index_version;
   std::vector<RangeOutcome> outcomes;
   outcomes.reserve(partitions_.size());
   for (PartitionState& partition : partitions_) {
@@ -178,7 +180,7 @@
 
 Refusal QueryRun::MakeRefusal(MonotonicTime now) {
   Refusal refusal;
-  refusal.execution = attempts_.Execution();
+  refusal.execution = attempt_log_.Execution();
   if (partitions_.empty()) {
     refusal.error = {ErrorCode::kInvalidArgument, "range",
                      "contains no key of the served index snapshot"};
--- a/source/common/routing/query_run_replies.cc
+++ b/source/common/routing/query_run_replies.cc
@@ -10,13 +10,13 @@
 // Delay before a partition is sent again to a backend that already had it. The
 // delay doubles with each retry or reroute of the partition; up to half of the
 // delay is added as jitter.
-constexpr Duration kShortestResendWait = milliseconds(5);
-constexpr Duration kLongestResendWait = milliseconds(200);
+constexpr Duration kMinimumResendDelay = milliseconds(5);
+constexpr Duration kMaximumResendDelay = milliseconds(200);
 // An attempt that ends unanswered after this many hedge delays counts as a
 // failure of its backend.
-constexpr int kSilentHedgeDelays = 4;
+constexpr int kUnresponsiveHedgeDelays = 4;
 // Estimated latency of an unanswered attempt, as a multiple of the time waited.
-constexpr int kSilenceFactor = 2;
+constexpr int kUnansweredLatencyFactor = 2;
 
 bool IsProvablyNotRun(SubqueryOutcome outcome) {
   switch (outcome) {
@@ -61,56 +61,57 @@
 Actions QueryRun::OnReplies(OwnerId owner, std::vector<SubqueryReply> replies,
                             MonotonicTime now) {
   Actions actions;
-  FollowView();
+  UpdateRoutes();
   for (SubqueryReply& reply : replies) {
     OnReply(owner, reply, now, actions);
   }
-  Settle(now, actions);
+  RestartOrFinish(now, actions);
   return actions;
 }
 
 void QueryRun::OnReply(OwnerId owner, SubqueryReply& reply, MonotonicTime now,
                        Actions& actions) {
-  switch (attempts_.Judge(owner, reply.attempt_id)) {
-    case ReplyVerdict::kAccept:
+  switch (attempt_log_.Judge(owner, reply.attempt_id)) {
+    case ResultVerdict::kAccept:
       break;
-    case ReplyVerdict::kLate:
+    case ResultVerdict::kLate:
       ++front_.counters.late_results;
       return;
-    case ReplyVerdict::kDuplicate:
+    case ResultVerdict::kDuplicate:
       ++front_.counters.duplicate_results;
       return;
-    case ReplyVerdict::kForeign:
+    case ResultVerdict::kForeign:
       ++front_.counters.foreign_results;
       return;
   }
-  const Attempt& attempt = attempts_.Get(reply.attempt_id);
+  const Attempt& attempt = attempt_log_.Get(reply.attempt_id);
   PartitionState& partition = partitions_[attempt.partition];
   CloseAttempt(reply.attempt_id);
-  LearnFrom(attempt, reply, now);
+  RecordObservations(attempt, reply, now);
   if (reply.outcome == SubqueryOutcome::kRows) {
     OnRows(partition, reply, now, actions);
     return;
   }
   if (IsProvablyNotRun(reply.outcome)) {
-    attempts_.MarkProvablyNotRun(reply.attempt_id);
+    attempt_log_.MarkProvablyNotRun(reply.attempt_id);
   }
-  const bool turned_away = reply.outcome == SubqueryOutcome::kShed ||
-                           reply.outcome == SubqueryOutcome::kExpiredUnstarted;
-  partition.shed_by_load |=
-      turned_away && reply.slots > 0 && reply.load >= reply.slots;
+  const bool refused = reply.outcome == SubqueryOutcome::kShed ||
+                       reply.outcome == SubqueryOutcome::kExpiredUnstarted;
+  partition.shed_by_busy_backend |=
+      refused && reply.slots > 0 && reply.load >= reply.slots;
   OnFailure(partition, reply.outcome, now, actions);
 }
 
 void QueryRun::CloseAttempt(AttemptId id) {
-  Attempt& attempt = attempts_.Get(id);
+  Attempt& attempt = attempt_log_.Get(id);
   attempt.status = AttemptStatus::kAnswered;
   --partitions_[attempt.partition].outstanding;
   front_.backends.OnDone(attempt.backend);
 }
 
-void QueryRun::LearnFrom(const Attempt& attempt, const SubqueryReply& reply,
-                         MonotonicTime now) {
+void QueryRun::RecordObservations(const Attempt& attempt,
+                                  const SubqueryReply& reply,
+                                  MonotonicTime now) {
   front_.counters.out_of_range_rows += reply.dropped_rows;
   retry_after_hint_ = std::max(retry_after_hint_, reply.retry_after);
   if (reply.slots > 0) {
@@ -120,14 +121,14 @@
     case SubqueryOutcome::kRows:
       front_.backends.OnSuccess(attempt.backend);
       front_.backends.OnLatency(attempt.backend, now - attempt.sent_at, now);
-      shared_.latency.Record(now - attempt.sent_at);
+      service_state_.latency.Record(now - attempt.sent_at);
       return;
     case SubqueryOutcome::kLost:
     case SubqueryOutcome::kUnreachable:
       front_.backends.OnFailure(attempt.backend, now);
       return;
     case SubqueryOutcome::kExpiredStarted:
-      LearnFromSilence(attempt, now);
+      RecordUnansweredAttempt(attempt, now);
       return;
     case SubqueryOutcome::kDraining:
       front_.backends.OnDraining(attempt.backend, now);
@@ -143,39 +144,41 @@
   }
 }
 
-void QueryRun::LearnFromSilence(const Attempt& attempt, MonotonicTime now) {
+void QueryRun::RecordUnansweredAttempt(const Attempt& attempt,
+                                       MonotonicTime now) {
   const Duration waited = now - attempt.sent_at;
-  const bool long_silence =
-      hedge_delay_.has_value() && waited >= kSilentHedgeDelays * *hedge_delay_;
-  if (long_silence) {
+  const bool unresponsive = hedge_delay_.has_value() &&
+                            waited >= kUnresponsiveHedgeDelays * *hedge_delay_;
+  if (unresponsive) {
     front_.backends.OnFailure(attempt.backend, now);
   } else if (attempt.probe) {
     front_.backends.OnProbeAbandoned(attempt.backend);
   }
-  const bool says_something =
+  const bool bounds_latency =
       hedge_delay_.has_value() && waited >= *hedge_delay_;
-  if (says_something) {
-    front_.backends.OnLatency(attempt.backend, kSilenceFactor * waited, now);
-    shared_.latency.Record(waited);
+  if (bounds_latency) {
+    front_.backends.OnLatency(attempt.backend,
+                              kUnansweredLatencyFactor * waited, now);
+    service_state_.latency.Record(waited);
   }
 }
 
 void QueryRun::OnRows(PartitionState& partition, SubqueryReply& reply,
                       MonotonicTime now, Actions& actions) {
-  TakeRows(partition, reply);
+  StoreRows(partition, reply);
   partition.status = PartitionStatus::kSearched;
   partition.resend_at.reset();
   partition.hedge_at.reset();
   --pending_;
   searched_width_ += partition.range.end - partition.range.begin;
   for (const AttemptId id : partition.attempts) {
-    if (attempts_.Get(id).status == AttemptStatus::kOutstanding) {
-      GiveUp(id, now, actions);
+    if (attempt_log_.Get(id).status == AttemptStatus::kOutstanding) {
+      AbandonAttempt(id, now, actions);
     }
   }
 }
 
-void QueryRun::TakeRows(PartitionState& partition, SubqueryReply& reply) {
+void QueryRun::StoreRows(PartitionState& partition, SubqueryReply& reply) {
   std::vector<ResultRow>& rows = reply.block.rows;
   const std::size_t dropped = std::erase_if(rows, [&](const ResultRow& row) {
     return !partition.range.Contains(row.key);
@@ -195,11 +198,11 @@
     case SubqueryOutcome::kDraining:
     case SubqueryOutcome::kWrongSnapshot:
     case SubqueryOutcome::kUnreachable:
-      SendAgain(partition, SendKind::kReroute, now, actions);
+      SendAgainOrSchedule(partition, SendKind::kReroute, now, actions);
       return;
     case SubqueryOutcome::kShed:
     case SubqueryOutcome::kLost:
-      SendAgain(partition, SendKind::kRetry, now, actions);
+      SendAgainOrSchedule(partition, SendKind::kRetry, now, actions);
       return;
     case SubqueryOutcome::kExpiredUnstarted:
     case SubqueryOutcome::kExpiredStarted:
@@ -214,57 +217,57 @@
 Actions QueryRun::OnOwnerLost(OwnerId owner, OwnerLoss loss,
                               MonotonicTime now) {
   Actions actions;
-  FollowView();
-  const AttemptId count = attempts_.size();
+  UpdateRoutes();
+  const AttemptId count = attempt_log_.size();
   for (AttemptId id = 0; id < count; ++id) {
-    const Attempt& attempt = attempts_.Get(id);
+    const Attempt& attempt = attempt_log_.Get(id);
     if (attempt.owner == owner &&
         attempt.status == AttemptStatus::kOutstanding) {
-      LoseAttempt(id, loss, now, actions);
+      OnAttemptLost(id, loss, now, actions);
     }
   }
-  Settle(now, actions);
+  RestartOrFinish(now, actions);
   return actions;
 }
 
 Actions QueryRun::OnBatchUnsent(const Batch& batch, MonotonicTime now) {
   Actions actions;
-  FollowView();
+  UpdateRoutes();
   for (const PlannedSubquery& subquery : batch.subqueries) {
-    const Attempt& attempt = attempts_.Get(subquery.attempt_id);
+    const Attempt& attempt = attempt_log_.Get(subquery.attempt_id);
     if (attempt.status == AttemptStatus::kOutstanding) {
-      LoseAttempt(subquery.attempt_id, OwnerLoss::kNothingSent, now, actions);
+      OnAttemptLost(subquery.attempt_id, OwnerLoss::kNothingSent, now, actions);
     }
   }
-  Settle(now, actions);
+  RestartOrFinish(now, actions);
   return actions;
 }
 
 // The owner failed, which is no evidence about its backends, so that no backend
 // failure is recorded.
-void QueryRun::LoseAttempt(AttemptId id, OwnerLoss loss, MonotonicTime now,
-                           Actions& actions) {
-  const Attempt attempt = attempts_.Get(id);
+void QueryRun::OnAttemptLost(AttemptId id, OwnerLoss loss, MonotonicTime now,
+                             Actions& actions) {
+  const Attempt attempt = attempt_log_.Get(id);
   CloseAttempt(id);
   if (attempt.probe) {
     front_.backends.OnProbeAbandoned(attempt.backend);
   }
   const bool nothing_sent = loss == OwnerLoss::kNothingSent;
   if (nothing_sent) {
-    attempts_.MarkProvablyNotRun(id);
+    attempt_log_.MarkProvablyNotRun(id);
   }
   const SubqueryOutcome outcome =
       nothing_sent ? SubqueryOutcome::kUnreachable : SubqueryOutcome::kLost;
   OnFailure(partitions_[attempt.partition], outcome, now, actions);
 }
 
-void QueryRun::SendAgain(PartitionState& partition, SendKind kind,
-                         MonotonicTime now, Actions& actions) {
+void QueryRun::SendAgainOrSchedule(PartitionState& partition, SendKind kind,
+                                   MonotonicTime now, Actions& actions) {
   const bool waits = partition.outstanding > 0 || partition.resend_at;
   if (partition.status != PartitionStatus::kPending || waits) {
     return;
   }
-  if (!MaySendAgain(partition, kind)) {
+  if (!CanSendAgain(partition, kind)) {
     MarkMissing(partition, partition.reason);
     return;
   }
@@ -276,10 +279,10 @@
   const bool version_gone = route == nullptr || route->replicas.empty();
   restart_wanted_ |=
       version_gone || partition.reason == MissingReason::kWrongSnapshot;
-  WaitToResend(partition, kind, now);
+  ScheduleResend(partition, kind, now);
 }
 
-bool QueryRun::MaySendAgain(const PartitionState& partition,
+bool QueryRun::CanSendAgain(const PartitionState& partition,
                             SendKind kind) const {
   if (!request_.repeatable && MayHaveRun(partition)) {
     return false;
@@ -290,7 +293,7 @@
 
 bool QueryRun::MayHaveRun(const PartitionState& partition) const {
   return std::ranges::any_of(partition.attempts, [this](AttemptId id) {
-    return !attempts_.Get(id).provably_not_run;
+    return !attempt_log_.Get(id).provably_not_run;
   });
 }
 
@@ -298,23 +301,23 @@
 // which may go to a replica that already had the partition. Draining replicas
 // would refuse again, and a resend to replicas that shed would only add load,
 // so neither is sent again.
-void QueryRun::WaitToResend(PartitionState& partition, SendKind kind,
-                            MonotonicTime now) {
-  const bool pointless = partition.reason == MissingReason::kDraining ||
-                         partition.reason == MissingReason::kShed;
+void QueryRun::ScheduleResend(PartitionState& partition, SendKind kind,
+                              MonotonicTime now) {
+  const bool resend_is_futile = partition.reason == MissingReason::kDraining ||
+                                partition.reason == MissingReason::kShed;
   const bool unaffordable =
-      kind == SendKind::kRetry && shared_.budget.balance() < 1;
+      kind == SendKind::kRetry && service_state_.budget.balance() < 1;
   const int doublings = partition.retries + partition.reroutes - 1;
   const Duration wait = Jittered(
-      std::min(kShortestResendWait * (1 << doublings), kLongestResendWait));
-  const bool too_late = now + wait + kShortestUsefulTime >= request_.deadline;
-  if (pointless || unaffordable || too_late) {
+      std::min(kMinimumResendDelay * (1 << doublings), kMaximumResendDelay));
+  const bool too_late = now + wait + kMinimumUsefulTime >= request_.deadline;
+  if (resend_is_futile || unaffordable || too_late) {
     MarkMissing(partition, partition.reason);
     return;
   }
   partition.resend_at = now + wait;
   partition.resend_kind = kind;
-  WakeAt(*partition.resend_at);
+  ScheduleTimer(*partition.resend_at);
 }
 
 void QueryRun::MarkMissing(PartitionState& partition, MissingReason reason) {
@@ -327,14 +330,14 @@
 
 Actions QueryRun::OnTimer(MonotonicTime now) {
   Actions actions;
-  FollowView();
-  LearnHedgeDelay();
+  UpdateRoutes();
+  UpdateHedgeDelay();
   next_timer_ = request_.deadline;
   const MonotonicTime soft_deadline =
       request_.received + service_->soft_deadline;
   if (service_->answer_policy == resources::AnswerPolicy::kLatency &&
       now < soft_deadline) {
-    WakeAt(soft_deadline);
+    ScheduleTimer(soft_deadline);
   }
   for (PartitionState& partition : partitions_) {
     if (partition.resend_at.has_value() && *partition.resend_at <= now) {
@@ -344,20 +347,20 @@
       Hedge(partition, now, actions);
     }
     if (partition.resend_at.has_value()) {
-      WakeAt(*partition.resend_at);
+      ScheduleTimer(*partition.resend_at);
     }
     if (partition.hedge_at.has_value()) {
-      WakeAt(*partition.hedge_at);
+      ScheduleTimer(*partition.hedge_at);
     }
   }
-  Settle(now, actions);
+  RestartOrFinish(now, actions);
   return actions;
 }
 
 void QueryRun::Resend(PartitionState& partition, MonotonicTime now,
                       Actions& actions) {
   const bool wrong_snapshot = partition.reason == MissingReason::kWrongSnapshot;
-  if (wrong_snapshot && RestartAllowed(now)) {
+  if (wrong_snapshot && CanRestart(now)) {
     restart_wanted_ = true;
     return;
   }
--- a/source/common/routing/replica_selector.cc
+++ b/source/common/routing/replica_selector.cc
@@ -12,7 +12,7 @@
 constexpr double kNearSlackUs = 1000;
 // The selector compares a near replica that has more than this many subqueries
 // per slot with a random far one.
-constexpr double kCrowdedLoadPerSlot = 2.0;
+constexpr double kBusyLoadPerSlot = 2.0;
 
 std::size_t RandomBelow(std::size_t bound, std::mt19937_64& random) {
   return static_cast<std::size_t>(random() % bound);
@@ -42,9 +42,9 @@
   PreferOtherOwners(request.avoided_owner, owners, now);
   const std::size_t near = PartitionByLatency(states, now);
   const ReplicaRoute& best = CheaperOfTwo(near, states, random, now);
-  const bool crowded =
-      states.Load(best.backend, now) > kCrowdedLoadPerSlot * best.slots;
-  if (!crowded || near == candidates_.size()) {
+  const bool busy =
+      states.Load(best.backend, now) > kBusyLoadPerSlot * best.slots;
+  if (!busy || near == candidates_.size()) {
     return ReplicaChoice{best, false};
   }
   const std::size_t far = near + RandomBelow(candidates_.size() - near, random);
--- a/source/common/routing/routing_table.cc
+++ b/source/common/routing/routing_table.cc
@@ -30,13 +30,13 @@
       place_(std::move(place)),
       backend_names_(backend_names),
       owner_names_(owner_names) {
-  static const session::FleetView kNothing;
+  static const session::FleetView kEmptyView;
   if (previous != nullptr) {
     backends_by_service_ = previous->backends_by_service_;
   }
-  UpdateServices(previous == nullptr ? kNothing : previous->view());
+  UpdateServices(previous == nullptr ? kEmptyView : previous->view());
   if (previous != nullptr) {
-    TakeOver(*previous);
+    ReuseValidRoutes(*previous);
   }
 }
 
@@ -74,7 +74,7 @@
   }
 }
 
-void RoutingTable::TakeOver(const RoutingTable& previous) {
+void RoutingTable::ReuseValidRoutes(const RoutingTable& previous) {
   const Names changed = ChangedServices(previous);
   for (const auto& [key, route] : previous.routes_) {
     // Snapshots are immutable, so only a deleted one invalidates its routes.
--- a/source/common/routing/routing_table.h
+++ b/source/common/routing/routing_table.h
@@ -93,7 +93,7 @@
   using Names = std::set<std::string>;
 
   // Takes over the routes that are still valid in this view.
-  void TakeOver(const RoutingTable& previous);
+  void ReuseValidRoutes(const RoutingTable& previous);
   // Updates backends_by_service_ from the view `before` to this view.
   void UpdateServices(const session::FleetView& before);
   // Services whose routes may differ from those of `previous`.
--- a/source/common/routing/zone_owners.cc
+++ b/source/common/routing/zone_owners.cc
@@ -12,12 +12,12 @@
   return XXH3_64bits_withSeed(backend.data(), backend.size(), seed);
 }
 
-bool MayOwn(const session::Member& member) {
+bool CanOwnBackends(const session::Member& member) {
   return member.gateway && !member.leaving;
 }
 
-bool OwnsBefore(std::uint64_t weight, const session::Member& member,
-                std::uint64_t best_weight, const session::Member* best) {
+bool TakesPrecedence(std::uint64_t weight, const session::Member& member,
+                     std::uint64_t best_weight, const session::Member* best) {
   if (best == nullptr || weight != best_weight) {
     return best == nullptr || weight > best_weight;
   }
@@ -28,7 +28,7 @@
     : candidates_(previous.candidates_), owners_(previous.owners_) {
   ChangeCandidates(change);
   std::vector<const Candidate*> added;
-  for (const MemberPointer& member : change.set_members) {
+  for (const MemberPointer& member : change.upserted_members) {
     added.push_back(&candidates_.at(member->daemon_id));
   }
   for (const std::string& backend : change.removed_backends) {
@@ -39,16 +39,16 @@
                                  ? candidates_.end()
                                  : candidates_.find(owner.member->daemon_id);
     if (still_there == candidates_.end()) {
-      ChooseAmongAll(backend, owner);
+      ChooseFromCandidates(backend, owner);
       continue;
     }
     owner.member = still_there->second.member;
     for (const Candidate* candidate : added) {
-      Improve(backend, *candidate, owner);
+      ReplaceIfPreferred(backend, *candidate, owner);
     }
   }
   for (const std::string& backend : change.added_backends) {
-    ChooseAmongAll(backend, owners_[backend]);
+    ChooseFromCandidates(backend, owners_[backend]);
   }
 }
 
@@ -56,24 +56,25 @@
   for (const std::string& daemon_id : change.removed_members) {
     candidates_.erase(daemon_id);
   }
-  for (const MemberPointer& member : change.set_members) {
+  for (const MemberPointer& member : change.upserted_members) {
     candidates_[member->daemon_id] = {member, OwnerSeedOf(member->daemon_id)};
   }
 }
 
-void ZoneOwners::Improve(const std::string& backend, const Candidate& candidate,
-                         Owner& best) {
+void ZoneOwners::ReplaceIfPreferred(const std::string& backend,
+                                    const Candidate& candidate, Owner& best) {
   const std::uint64_t weight = OwnerWeightOf(backend, candidate.seed);
-  if (OwnsBefore(weight, *candidate.member, best.weight, best.member.get())) {
+  if (TakesPrecedence(weight, *candidate.member, best.weight,
+                      best.member.get())) {
     best = {candidate.member, weight};
   }
 }
 
-void ZoneOwners::ChooseAmongAll(const std::string& backend,
-                                Owner& owner) const {
+void ZoneOwners::ChooseFromCandidates(const std::string& backend,
+                                      Owner& owner) const {
   owner = {};
   for (const auto& [daemon_id, candidate] : candidates_) {
-    Improve(backend, candidate, owner);
+    ReplaceIfPreferred(backend, candidate, owner);
   }
 }
 
--- a/source/common/routing/zone_owners.h
+++ b/source/common/routing/zone_owners.h
@@ -13,7 +13,7 @@
 namespace juniperway::routing {
 
 // Whether the member may own backends: a gateway that is not leaving.
-bool MayOwn(const session::Member& member);
+bool CanOwnBackends(const session::Member& member);
 
 // Weight of a gateway for a backend; the gateway with the highest weight owns
 // the backend.
@@ -25,8 +25,8 @@
 // Whether `member`, with `weight`, takes precedence over `best`, the preferred
 // gateway so far (null: none). Of two equal weights, the smaller daemon id
 // wins.
-bool OwnsBefore(std::uint64_t weight, const session::Member& member,
-                std::uint64_t best_weight, const session::Member* best);
+bool TakesPrecedence(std::uint64_t weight, const session::Member& member,
+                     std::uint64_t best_weight, const session::Member* best);
 
 // Immutable, so that the ownership tables of successive views share the zones
 // in which nothing changed. Owned by the OwnershipTables.
@@ -37,7 +37,7 @@
   // What changed in a zone from one view to the next.
   struct Change {
     // Gateways that may own backends and are new or have changed fields.
-    std::vector<MemberPointer> set_members;
+    std::vector<MemberPointer> upserted_members;
     // Ids of gateways that left or may no longer own backends.
     std::vector<std::string> removed_members;
     std::vector<std::string> added_backends;
@@ -75,9 +75,9 @@
 
   void ChangeCandidates(const Change& change);
   // Replaces `best` by the candidate if the candidate takes precedence.
-  static void Improve(const std::string& backend, const Candidate& candidate,
-                      Owner& best);
-  void ChooseAmongAll(const std::string& backend, Owner& owner) const;
+  static void ReplaceIfPreferred(const std::string& backend,
+                                 const Candidate& candidate, Owner& best);
+  void ChooseFromCandidates(const std::string& backend, Owner& owner) const;
 
   // By daemon id.
   std::map<std::string, Candidate> candidates_;
--- a/test/property/routing/query_checker.cc
+++ b/test/property/routing/query_checker.cc
@@ -33,7 +33,7 @@
   }
   bool AllToldNotRun() const {
     return std::ranges::all_of(query_.sent, [](const auto& entry) {
-      return entry.second.told_not_run;
+      return entry.second.delivered_not_run;
     });
   }
 
@@ -49,7 +49,7 @@
     CheckRows(answer);
     for (const auto& [attempt, sent] : query_.sent) {
       const bool counts =
-          sent.told_rows && sent.version == answer.index_version;
+          sent.delivered_rows && sent.version == answer.index_version;
       Expect(!counts || IsSearched(answer.coverage, sent.range),
              "rows were received, but their range is reported as missing");
     }
@@ -76,9 +76,9 @@
     }
   }
 
-  void CheckNothingLeft() {
+  void CheckAllEnded() {
     for (const auto& [attempt, sent] : query_.sent) {
-      Expect(sent.settled || sent.cancelled,
+      Expect(sent.completed || sent.cancelled,
              "subquery " + std::to_string(attempt) +
                  " was neither completed nor cancelled");
     }
@@ -129,8 +129,9 @@
     keys.resize(std::min<std::size_t>(keys.size(), query_.row_limit));
     bool same = answer.rows.size() == keys.size();
     for (std::size_t i = 0; same && i < keys.size(); ++i) {
-      same = answer.rows[i].key == keys[i] &&
-             answer.rows[i].value == TrueValue(answer.index_version, keys[i]);
+      same =
+          answer.rows[i].key == keys[i] &&
+          answer.rows[i].value == ExpectedValue(answer.index_version, keys[i]);
     }
     Expect(
         same,
@@ -143,7 +144,7 @@
     for (bool grew = true; grew && covered < range.end;) {
       grew = false;
       for (const auto& [attempt, sent] : query_.sent) {
-        if (sent.told_rows && sent.version == version &&
+        if (sent.delivered_rows && sent.version == version &&
             sent.range.Contains(covered)) {
           covered = sent.range.end;
           grew = true;
@@ -160,15 +161,15 @@
 
 }  // namespace
 
-std::string TrueValue(resources::IndexVersion version, Key key) {
+std::string ExpectedValue(resources::IndexVersion version, Key key) {
   return "v" + std::to_string(version) + ":" + std::to_string(key);
 }
 
-RowBlock TrueRows(resources::IndexVersion version, KeyRange range) {
+RowBlock ExpectedRows(resources::IndexVersion version, KeyRange range) {
   const std::vector<Key> keys = KeysIn(range);
   auto values = std::make_shared<std::vector<std::string>>();
   for (const Key key : keys) {
-    values->push_back(TrueValue(version, key));
+    values->push_back(ExpectedValue(version, key));
   }
   RowBlock block;
   for (std::size_t i = 0; i < keys.size(); ++i) {
@@ -178,13 +179,13 @@
   return block;
 }
 
-void CheckQuery(const QueryRecord& query, Duration latest_end,
+void CheckQuery(const QueryRecord& query, Duration maximum_delay,
                 std::vector<std::string>& violations) {
   Check check(query, violations);
   check.Expect(
       query.outcomes.size() == 1,
       std::to_string(query.outcomes.size()) + " outcomes instead of one");
-  check.Expect(query.ended <= query.deadline + latest_end,
+  check.Expect(query.ended <= query.deadline + maximum_delay,
                "ended too long after its deadline");
   if (query.outcomes.empty()) {
     return;
@@ -202,7 +203,7 @@
   if (!query.repeatable) {
     check.CheckAtMostOnce();
   }
-  check.CheckNothingLeft();
+  check.CheckAllEnded();
 }
 
 }  // namespace juniperway::routing::testing
--- a/test/property/routing/query_checker.h
+++ b/test/property/routing/query_checker.h
@@ -15,15 +15,15 @@
 
 // End of the simulated key range, which starts at 0. The partition maps of all
 // versions cover exactly this range.
-inline constexpr Key kWorldEnd = 1200;
+inline constexpr Key kKeyRangeEnd = 1200;
 // Distance between the keys of neighbouring rows; the first row has key 0.
 inline constexpr Key kRowSpacing = 20;
 
 // The expected value of the row at `key` in an index version.
-std::string TrueValue(resources::IndexVersion version, Key key);
+std::string ExpectedValue(resources::IndexVersion version, Key key);
 
 // The expected rows of a version in a range, in key order.
-RowBlock TrueRows(resources::IndexVersion version, KeyRange range);
+RowBlock ExpectedRows(resources::IndexVersion version, KeyRange range);
 
 // One subquery that the front sent.
 struct SentSubquery {
@@ -34,11 +34,11 @@
   bool begun = false;
   // The front received evidence that the subquery was not run, before the
   // subquery was completed or cancelled.
-  bool told_not_run = false;
+  bool delivered_not_run = false;
   // The front received the rows before the subquery was completed or cancelled.
-  bool told_rows = false;
+  bool delivered_rows = false;
   // The subquery was answered or lost.
-  bool settled = false;
+  bool completed = false;
   bool cancelled = false;
 };
 
@@ -58,8 +58,8 @@
 
 // Appends a line to `violations` for each guarantee that the finished query
 // broke.
-// @param latest_end how long after its deadline a query may end.
-void CheckQuery(const QueryRecord& query, Duration latest_end,
+// @param maximum_delay how long after its deadline a query may end.
+void CheckQuery(const QueryRecord& query, Duration maximum_delay,
                 std::vector<std::string>& violations);
 
 }  // namespace juniperway::routing::testing
--- a/test/property/routing/query_property_test.cc
+++ b/test/property/routing/query_property_test.cc
@@ -18,7 +18,7 @@
   return result.violations.empty() ? "" : result.violations.front();
 }
 
-bool IsCaught(PlantedDefect defect) {
+bool IsDetected(PlantedDefect defect) {
   for (std::uint64_t seed = 1; seed <= kDefectSeeds; ++seed) {
     if (!RunWorld({.seed = seed, .defect = defect}).violations.empty()) {
       return true;
@@ -54,16 +54,16 @@
 }
 
 TEST_CASE("the checks detect each injected defect") {
-  CHECK(IsCaught(PlantedDefect::kMixedSnapshot));
-  CHECK(IsCaught(PlantedDefect::kFalseCoverage));
-  CHECK(IsCaught(PlantedDefect::kFalseNotRun));
-  CHECK(IsCaught(PlantedDefect::kFalseMayHaveRun));
-  CHECK(IsCaught(PlantedDefect::kRepeatsAll));
-  CHECK(IsCaught(PlantedDefect::kNoCancels));
-  CHECK(IsCaught(PlantedDefect::kIgnoresDrains));
-  CHECK(IsCaught(PlantedDefect::kOverspends));
-  CHECK(IsCaught(PlantedDefect::kLateDeadline));
-  CHECK(IsCaught(PlantedDefect::kTwoAnswers));
+  CHECK(IsDetected(PlantedDefect::kMixedSnapshot));
+  CHECK(IsDetected(PlantedDefect::kFalseCoverage));
+  CHECK(IsDetected(PlantedDefect::kFalseNotRun));
+  CHECK(IsDetected(PlantedDefect::kFalseMayHaveRun));
+  CHECK(IsDetected(PlantedDefect::kRepeatsAll));
+  CHECK(IsDetected(PlantedDefect::kNoCancels));
+  CHECK(IsDetected(PlantedDefect::kIgnoresDrains));
+  CHECK(IsDetected(PlantedDefect::kOverspends));
+  CHECK(IsDetected(PlantedDefect::kLateDeadline));
+  CHECK(IsDetected(PlantedDefect::kTwoAnswers));
 }
 
 }  // namespace juniperway::routing::testing
--- a/test/property/routing/query_world.cc
+++ b/test/property/routing/query_world.cc
@@ -15,9 +15,9 @@
 namespace {
 
 // Maximum delay of a timer in the simulation.
-constexpr Duration kLatestTimer = microseconds(300);
+constexpr Duration kMaximumTimerDelay = microseconds(300);
 // Backoff before the front connects to an owner again after a loss.
-constexpr Duration kPause = milliseconds(20);
+constexpr Duration kReconnectBackoff = milliseconds(20);
 
 // A query with its record; the World and its events share ownership.
 struct WorldQuery {
@@ -28,10 +28,10 @@
 using QueryPointer = std::shared_ptr<WorldQuery>;
 
 // The front's connection to an owner.
-struct Link {
+struct Connection {
   bool connected = false;
   bool connecting = false;
-  MonotonicTime paused_until{};
+  MonotonicTime backoff_until{};
   // Incremented with each loss; messages of earlier generations may be lost.
   int generation = 0;
   // Sends that wait for the connection to be established.
@@ -65,8 +65,9 @@
     }
     const int losses = static_cast<int>(Draw(8));
     for (int i = 0; i < losses; ++i) {
-      At(now_ + Between(0, 1500),
-         [this] { LoseLink(static_cast<OwnerId>(Draw(links_.size() + 1))); });
+      At(now_ + Between(0, 1500), [this] {
+        BreakConnection(static_cast<OwnerId>(Draw(connections_.size() + 1)));
+      });
     }
   }
 
@@ -79,10 +80,10 @@
       action();
     }
     for (const QueryPointer& query : queries_) {
-      CheckQuery(query->record, kLatestTimer, result_.violations);
+      CheckQuery(query->record, kMaximumTimerDelay, result_.violations);
       CountOutcome(query->record);
     }
-    CheckLoad();
+    CheckTotals();
     return std::move(result_);
   }
 
@@ -113,7 +114,7 @@
       }
     }
     if (options_.defect == PlantedDefect::kOverspends) {
-      seen.services[kService].retry_budget = 10 * kBudget;
+      seen.services[kService].retry_budget = 10 * kRetryBudgetShare;
     }
     front_.SetView(std::make_shared<const session::FleetView>(std::move(seen)));
   }
@@ -124,9 +125,10 @@
     QueryRecord& record = query->record;
     record.id = static_cast<std::uint64_t>(number);
     record.repeatable = !Chance(0.3);
-    const Key begin = Chance(0.5) ? 0 : Draw(kWorldEnd / 2);
-    record.asked = {
-        begin, Chance(0.5) ? kWorldEnd : begin + 1 + Draw(kWorldEnd - begin)};
+    const Key begin = Chance(0.5) ? 0 : Draw(kKeyRangeEnd / 2);
+    record.asked = {begin, Chance(0.5)
+                               ? kKeyRangeEnd
+                               : begin + 1 + Draw(kKeyRangeEnd - begin)};
     record.row_limit = Chance(0.3) ? 1 + Draw(40) : 1000;
     record.deadline = now_ + Between(2, 150);
     QueryRequest request;
@@ -176,7 +178,7 @@
       if (record.outcomes.empty()) {
         for (const PlannedSubquery& planned : batch->subqueries) {
           SentSubquery& sent = record.sent.at(planned.attempt_id);
-          sent.told_not_run = sent.settled = true;
+          sent.delivered_not_run = sent.completed = true;
         }
         Apply(query, query->run->OnBatchUnsent(*batch, now_));
       }
@@ -190,7 +192,8 @@
       return;
     }
     query->armed_for = wanted;
-    const Duration late(static_cast<Duration::rep>(Draw(kLatestTimer.count())));
+    const Duration late(
+        static_cast<Duration::rep>(Draw(kMaximumTimerDelay.count())));
     At(std::max(now_, wanted) + late, [this, query] {
       query->armed_for = MonotonicTime::max();
       if (query->record.outcomes.empty()) {
@@ -200,7 +203,7 @@
   }
 
   void End(QueryRecord& record, QueryOutcome outcome) {
-    Plant(outcome);
+    InjectDefect(outcome);
     record.ended = now_;
     record.outcomes.push_back(std::move(outcome));
     if (options_.defect == PlantedDefect::kTwoAnswers) {
@@ -208,7 +211,7 @@
     }
   }
 
-  void Plant(QueryOutcome& outcome) const {
+  void InjectDefect(QueryOutcome& outcome) const {
     auto* answer = std::get_if<Answer>(&outcome);
     if (answer != nullptr && !answer->coverage.missing.empty() &&
         options_.defect == PlantedDefect::kFalseCoverage) {
@@ -242,7 +245,7 @@
   }
 
   bool Send(const QueryPointer& query, const Batch& batch) {
-    Link& link = links_[batch.owner];
+    Connection& connection = connections_[batch.owner];
     for (const PlannedSubquery& planned : batch.subqueries) {
       const bool fresh =
           query->record.sent
@@ -252,69 +255,70 @@
               .second;
       Expect(fresh, "an attempt id was used twice");
     }
-    if (!link.connected && !link.connecting && now_ < link.paused_until) {
+    if (!connection.connected && !connection.connecting &&
+        now_ < connection.backoff_until) {
       Count("unsent batches");
       return false;
     }
     sent_ += batch.subqueries.size();
     for (const PlannedSubquery& planned : batch.subqueries) {
-      const auto travel = [this, query, id = planned.attempt_id,
-                           backend = std::string(planned.backend),
-                           remaining = batch.remaining, owner = batch.owner] {
-        const int generation = links_[owner].generation;
+      const auto send = [this, query, id = planned.attempt_id,
+                         backend = std::string(planned.backend),
+                         remaining = batch.remaining, owner = batch.owner] {
+        const int generation = connections_[owner].generation;
         At(now_ + Between(0, 3),
            [=, this] { Arrive(query, id, backend, remaining, generation); });
       };
-      link.connected ? travel() : link.waiting.push_back(travel);
+      connection.connected ? send() : connection.waiting.push_back(send);
     }
-    if (!link.connected && !link.connecting) {
+    if (!connection.connected && !connection.connecting) {
       Connect(batch.owner);
     }
     return true;
   }
 
   void Connect(OwnerId owner) {
-    links_[owner].connecting = true;
+    connections_[owner].connecting = true;
     At(now_ + Between(0, 4), [this, owner] {
-      Link& link = links_[owner];
-      link.connecting = false;
+      Connection& connection = connections_[owner];
+      connection.connecting = false;
       if (Chance(0.85)) {
-        link.connected = true;
+        connection.connected = true;
         front_.owners.OnConnected(owner);
-        for (const auto& travel : std::exchange(link.waiting, {})) {
-          travel();
+        for (const auto& send : std::exchange(connection.waiting, {})) {
+          send();
         }
         return;
       }
       Count("failed connects");
-      link.waiting.clear();
-      TellLoss(owner, OwnerLoss::kNothingSent);
+      connection.waiting.clear();
+      NotifyLoss(owner, OwnerLoss::kNothingSent);
     });
   }
 
   // Breaks the connection; messages in flight may or may not arrive.
-  void LoseLink(OwnerId owner) {
-    Link& link = links_[owner];
-    if (!link.connected) {
+  void BreakConnection(OwnerId owner) {
+    Connection& connection = connections_[owner];
+    if (!connection.connected) {
       return;
     }
     Count("hang-ups");
-    link.connected = false;
-    ++link.generation;
-    TellLoss(owner, OwnerLoss::kMayHaveRun);
+    connection.connected = false;
+    ++connection.generation;
+    NotifyLoss(owner, OwnerLoss::kMayHaveRun);
   }
 
-  void TellLoss(OwnerId owner, OwnerLoss loss) {
-    links_[owner].paused_until = now_ + kPause;
+  void NotifyLoss(OwnerId owner, OwnerLoss loss) {
+    connections_[owner].backoff_until = now_ + kReconnectBackoff;
     front_.owners.OnLost(owner, now_);
     for (const QueryPointer& query : std::vector(queries_)) {
       if (!query->record.outcomes.empty()) {
         continue;
       }
       for (auto& [id, sent] : query->record.sent) {
-        if (sent.owner == owner && !sent.settled && !sent.cancelled) {
-          sent.settled = true;
-          sent.told_not_run = loss == OwnerLoss::kNothingSent;
+        if (sent.owner == owner && !sent.completed && !sent.cancelled) {
+          sent.completed = true;
+          sent.delivered_not_run = loss == OwnerLoss::kNothingSent;
         }
       }
       Apply(query, query->run->OnOwnerLost(owner, loss, now_));
@@ -325,18 +329,19 @@
   void Arrive(const QueryPointer& query, AttemptId id,
               const std::string& backend, Duration remaining, int generation) {
     SentSubquery& sent = query->record.sent.at(id);
-    const bool hung_up = generation != links_[sent.owner].generation;
-    if (sent.cancelled || (hung_up && Chance(0.5))) {
+    const bool connection_broke =
+        generation != connections_[sent.owner].generation;
+    if (sent.cancelled || (connection_broke && Chance(0.5))) {
       return;
     }
-    const Fate fate =
-        DrawFate(random_, fleet_.Holds(backend, sent.version), remaining);
-    sent.begun = fate.begun;
-    begun_ += fate.begun ? 1 : 0;
-    if (fate.silent) {
+    const SubqueryHandling handling =
+        DrawHandling(random_, fleet_.Holds(backend, sent.version), remaining);
+    sent.begun = handling.begun;
+    begun_ += handling.begun ? 1 : 0;
+    if (handling.silent) {
       Count("silent subqueries");
     } else {
-      Reply(query, id, fate.outcome, fate.after);
+      Reply(query, id, handling.outcome, handling.after);
     }
   }
 
@@ -347,7 +352,7 @@
     for (const AttemptId id : cancellation.attempts) {
       SentSubquery& sent = query->record.sent.at(id);
       Expect(sent.owner == cancellation.owner, "cancelled at another owner");
-      Expect(!sent.settled, "cancelled after it was completed");
+      Expect(!sent.completed, "cancelled after it was completed");
       sent.cancelled = true;
     }
   }
@@ -356,7 +361,7 @@
   void Reply(const QueryPointer& query, AttemptId id, SubqueryOutcome outcome,
              Duration after) {
     const SentSubquery& sent = query->record.sent.at(id);
-    const int generation = links_[sent.owner].generation;
+    const int generation = connections_[sent.owner].generation;
     const auto deliver = [=, this] { Deliver(query, id, outcome, generation); };
     At(now_ + after + Between(0, 3), deliver);
     if (Chance(0.05)) {
@@ -374,15 +379,16 @@
     QueryRecord& record = query->record;
     SentSubquery& sent = record.sent.at(id);
     // Most results of a broken connection are lost.
-    const bool hung_up = generation != links_[sent.owner].generation;
-    if (!record.outcomes.empty() || (hung_up && Chance(0.8))) {
+    const bool connection_broke =
+        generation != connections_[sent.owner].generation;
+    if (!record.outcomes.empty() || (connection_broke && Chance(0.8))) {
       return;
     }
-    const bool counts = !sent.settled && !sent.cancelled;
+    const bool counts = !sent.completed && !sent.cancelled;
     if (counts) {
-      sent.settled = true;
-      sent.told_rows = outcome == SubqueryOutcome::kRows;
-      sent.told_not_run = !sent.begun;
+      sent.completed = true;
+      sent.delivered_rows = outcome == SubqueryOutcome::kRows;
+      sent.delivered_not_run = !sent.begun;
     }
     std::vector<SubqueryReply> replies;
     replies.push_back(MakeReply(sent, id, outcome));
@@ -416,9 +422,10 @@
           options_.defect == PlantedDefect::kMixedSnapshot && sent.version > 1;
       KeyRange range = sent.range;
       if (Chance(0.05)) {
-        range.end = std::min(range.end + 3 * kRowSpacing, kWorldEnd);
+        range.end = std::min(range.end + 3 * kRowSpacing, kKeyRangeEnd);
       }
-      reply.block = TrueRows(mixed ? sent.version - 1 : sent.version, range);
+      reply.block =
+          ExpectedRows(mixed ? sent.version - 1 : sent.version, range);
       if (Chance(0.1)) {
         std::ranges::reverse(reply.block.rows);
       }
@@ -427,11 +434,11 @@
   }
 
   // --- Totals ---
-  void CheckLoad() {
+  void CheckTotals() {
     const FrontCounters& counters = front_.counters;
     const auto firsts = static_cast<double>(counters.first_subqueries);
     const auto extra = static_cast<double>(counters.hedges + counters.retries);
-    const double allowed = kBudget * firsts + RetryBudget::kReserve;
+    const double allowed = kRetryBudgetShare * firsts + RetryBudget::kReserve;
     Expect(extra <= allowed + 1e-6, "hedges and retries exceed the budget");
     const std::uint64_t counted = counters.first_subqueries + counters.hedges +
                                   counters.retries + counters.reroutes +
@@ -477,7 +484,7 @@
   MonotonicTime now_{milliseconds(1)};
   std::multimap<MonotonicTime, std::function<void()>> events_;
   std::vector<QueryPointer> queries_;
-  std::map<OwnerId, Link> links_;
+  std::map<OwnerId, Connection> connections_;
   std::uint64_t sent_ = 0;
   std::uint64_t begun_ = 0;
   WorldResult result_;
--- a/test/property/routing/world_fleet.cc
+++ b/test/property/routing/world_fleet.cc
@@ -15,7 +15,7 @@
 resources::IndexSnapshot MakeSnapshot(resources::IndexVersion version,
                                       int layout) {
   resources::IndexSnapshot snapshot{kService, version, {}};
-  const Key width = kWorldEnd / static_cast<Key>(layout);
+  const Key width = kKeyRangeEnd / static_cast<Key>(layout);
   for (int i = 0; i < layout; ++i) {
     const Key begin = static_cast<Key>(i) * width;
     snapshot.partitions.push_back(
@@ -31,7 +31,7 @@
 WorldFleet::WorldFleet(WorldRandom& random) : random_(random) {
   view_.revision = 1;
   resources::Service service;
-  service.retry_budget = kBudget;
+  service.retry_budget = kRetryBudgetShare;
   service.hedge_quantile = 0.9;
   if (random_.Chance(0.5)) {
     service.answer_policy = resources::AnswerPolicy::kLatency;
@@ -124,7 +124,8 @@
   return leaves || view_.backends.at(backend).drain;
 }
 
-Fate DrawFate(WorldRandom& random, bool holds_snapshot, Duration remaining) {
+SubqueryHandling DrawHandling(WorldRandom& random, bool holds_snapshot,
+                              Duration remaining) {
   constexpr std::array kRefusals = {
       SubqueryOutcome::kShed, SubqueryOutcome::kNotOwner,
       SubqueryOutcome::kDraining, SubqueryOutcome::kUnreachable};
@@ -139,15 +140,15 @@
   }
   const Duration work =
       random.Chance(0.1) ? random.Between(20, 200) : random.Between(1, 8);
-  Fate fate{SubqueryOutcome::kRows, work, /*begun=*/true};
+  SubqueryHandling handling{SubqueryOutcome::kRows, work, /*begun=*/true};
   if (work > remaining) {
-    fate.outcome = SubqueryOutcome::kExpiredStarted;
-    fate.after = remaining;
+    handling.outcome = SubqueryOutcome::kExpiredStarted;
+    handling.after = remaining;
   } else if (random.Chance(0.06)) {
-    fate.outcome = SubqueryOutcome::kLost;
+    handling.outcome = SubqueryOutcome::kLost;
   }
-  fate.silent = random.Chance(0.04);
-  return fate;
+  handling.silent = random.Chance(0.04);
+  return handling;
 }
 
 }  // namespace juniperway::routing::testing
--- a/test/property/routing/world_fleet.h
+++ b/test/property/routing/world_fleet.h
@@ -14,7 +14,7 @@
 
 inline const std::string kService = "s";
 inline constexpr int kBackends = 8;
-inline constexpr double kBudget = 0.05;
+inline constexpr double kRetryBudgetShare = 0.05;
 
 std::string BackendName(int number);
 
@@ -48,7 +48,7 @@
 };
 
 // How an owner and its backend handle one subquery.
-struct Fate {
+struct SubqueryHandling {
   SubqueryOutcome outcome = SubqueryOutcome::kRows;
   // Time from the arrival at the owner until the owner sends the result.
   Duration after{};
@@ -59,6 +59,7 @@
 
 // Draws how a subquery is handled.
 // @param remaining time that the front gave the owner.
-Fate DrawFate(WorldRandom& random, bool holds_snapshot, Duration remaining);
+SubqueryHandling DrawHandling(WorldRandom& random, bool holds_snapshot,
+                              Duration remaining);
 
 }  // namespace juniperway::routing::testing
--- a/test/unit/routing/admission_limit_test.cc
+++ b/test/unit/routing/admission_limit_test.cc
@@ -50,7 +50,7 @@
     limit.OnEnd(shed ? End::kOverloaded : End::kServed, At(i), At(i + 1));
     Begin(limit, 1);
   }
-  CHECK(limit.limit() == AdmissionLimit::kHighest);
+  CHECK(limit.limit() == AdmissionLimit::kMaximumLimit);
 }
 
 TEST_CASE("the limit has a minimum, and grows only while it is in use") {
@@ -59,19 +59,19 @@
     Begin(limit, 1);
     limit.OnEnd(End::kOverloaded, At(ms), At(ms));
   }
-  CHECK(limit.limit() == AdmissionLimit::kLowest);
+  CHECK(limit.limit() == AdmissionLimit::kMinimumLimit);
   CHECK(limit.HasRoom());
   // One running query uses too little of the limit for it to grow.
   Begin(limit, 1);
   limit.OnEnd(End::kServed, At(200), At(201));
-  CHECK(limit.limit() == AdmissionLimit::kLowest);
+  CHECK(limit.limit() == AdmissionLimit::kMinimumLimit);
   Begin(limit, 4);
   CHECK(!limit.HasRoom());
   for (int i = 0; i < 1000; ++i) {
     limit.OnEnd(End::kServed, At(300), At(301));
     Begin(limit, 1);
   }
-  CHECK(limit.limit() > 2 * AdmissionLimit::kLowest - 1);
+  CHECK(limit.limit() > 2 * AdmissionLimit::kMinimumLimit - 1);
   CHECK(limit.running() == 4);
 }
 
@@ -80,7 +80,7 @@
   AdmissionLimit limit;
   Begin(limit, 10);
   EndAll(limit, 10, End::kOther, At(0), At(1));
-  CHECK(limit.limit() == AdmissionLimit::kHighest);
+  CHECK(limit.limit() == AdmissionLimit::kMaximumLimit);
   CHECK(limit.running() == 0);
 }
 
