--- a/source/common/routing/attempt_log.h
+++ b/source/common/routing/attempt_log.h
@@ -58,7 +58,7 @@
   // @return kNotRun when every attempt was provably not run or there is none,
   //   else kMayHaveRun.
   ExecutionState Execution() const;
-  // Number of attempts that are not provably not run.
+  // Number of attempts that may have run on a backend.
   AttemptId CountOfPossiblyRun() const { return size() - provably_not_run_; }
 
  private:
--- a/source/common/routing/coverage.cc
+++ b/source/common/routing/coverage.cc
@@ -13,10 +13,10 @@
 
 void AddMissing(KeyRange range, MissingReason reason,
                 std::vector<MissingRange>& missing) {
-  const bool joins = !missing.empty() &&
-                     missing.back().range.end == range.begin &&
-                     missing.back().reason == reason;
-  if (joins) {
+  const bool extends_last = !missing.empty() &&
+                            missing.back().range.end == range.begin &&
+                            missing.back().reason == reason;
+  if (extends_last) {
     missing.back().range.end = range.end;
   } else {
     missing.push_back({range, reason});
--- a/source/common/routing/latency_tracker.cc
+++ b/source/common/routing/latency_tracker.cc
@@ -24,10 +24,10 @@
   const double bounded = std::clamp(quantile, 0.0, 1.0);
   const auto rank = static_cast<std::uint64_t>(
       std::ceil(bounded * static_cast<double>(total_)));
-  std::uint64_t seen = 0;
+  std::uint64_t cumulative_count = 0;
   for (std::size_t bucket = 0; bucket < kBuckets; ++bucket) {
-    seen += counts_[bucket];
-    if (seen >= rank && seen > 0) {
+    cumulative_count += counts_[bucket];
+    if (cumulative_count >= rank && cumulative_count > 0) {
       return MiddleOf(bucket);
     }
   }
--- a/source/common/routing/query_run.cc
+++ b/source/common/routing/query_run.cc
@@ -292,8 +292,8 @@
 }
 
 Duration QueryRun::RemainingTimeForOwner(MonotonicTime now) const {
-  const Duration left = request_.deadline - now;
-  return left - std::min(kHopMargin, left / kHopMarginDivisor);
+  const Duration remaining = request_.deadline - now;
+  return remaining - std::min(kHopMargin, remaining / kHopMarginDivisor);
 }
 
 void QueryRun::ScheduleTimer(MonotonicTime time) {
--- a/source/common/routing/query_run.h
+++ b/source/common/routing/query_run.h
@@ -110,9 +110,12 @@
   // Creates the partition states of the requested range.
   void SplitByPartition();
   void SendFirstSubqueries(MonotonicTime now, Actions& actions);
+  // Why a first subquery was not sent.
   MissingReason ReasonUnsent(const PartitionState& partition,
                              MonotonicTime now) const;
+  // Sets the hedge delay from the service's latency quantile.
   void UpdateHedgeDelay();
+  // Cancels all attempts and sends the query on the newer snapshot, if allowed.
   void TryRestart(MonotonicTime now, Actions& actions);
   bool CanRestart(MonotonicTime now) const;
 
@@ -129,7 +132,9 @@
   // Counts the attempt and adds or takes its retry budget.
   // @return false when the budget refuses the attempt.
   bool TryChargeBudget(SendKind kind, MonotonicTime now);
+  // @return the batch for the owner in `actions`, added if missing.
   Batch& BatchFor(OwnerId owner, MonotonicTime now, Actions& actions);
+  // Logs a new attempt and adds its subquery to a batch.
   void Record(PartitionState& partition, const ReplicaChoice& choice,
               SendKind kind, MonotonicTime now, Actions& actions);
   // Time until the deadline minus the margin for the result's way back.
@@ -142,6 +147,7 @@
   // --- Results ---
   void OnReply(OwnerId owner, SubqueryReply& reply, MonotonicTime now,
                Actions& actions);
+  // Ends an outstanding attempt that has a result or is lost.
   void CloseAttempt(AttemptId id);
   void OnAttemptLost(AttemptId id, OwnerLoss loss, MonotonicTime now,
                      Actions& actions);
@@ -156,6 +162,7 @@
   void SendAgainOrSchedule(PartitionState& partition, SendKind kind,
                            MonotonicTime now, Actions& actions);
   bool CanSendAgain(const PartitionState& partition, SendKind kind) const;
+  // Whether any attempt at the partition may have run.
   bool MayHaveRun(const PartitionState& partition) const;
   void MarkMissing(PartitionState& partition, MissingReason reason);
 
@@ -173,7 +180,9 @@
   void RecordUnansweredAttempt(const Attempt& attempt, MonotonicTime now);
   Answer MakeAnswer();
   Refusal MakeRefusal(MonotonicTime now);
+  // Adds a random half at most, so that clients do not retry at the same time.
   Duration Jittered(Duration duration);
+  // Moves the next timer to `time` if that is earlier.
   void ScheduleTimer(MonotonicTime time);
 
   QueryRequest request_;
@@ -198,7 +207,9 @@
   // A partition could not be sent again, and either no replica holds the pinned
   // version any more or the last attempt was refused for that version.
   bool restart_wanted_ = false;
+  // Empty when the query sends no hedges.
   std::optional<Duration> hedge_delay_;
+  // Longest retry-after that an owner sent for this query.
   Duration retry_after_hint_{};
   MonotonicTime next_timer_{};
   bool finished_ = false;
--- a/source/common/routing/query_run_replies.cc
+++ b/source/common/routing/query_run_replies.cc
@@ -263,8 +263,8 @@
 
 void QueryRun::SendAgainOrSchedule(PartitionState& partition, SendKind kind,
                                    MonotonicTime now, Actions& actions) {
-  const bool waits = partition.outstanding > 0 || partition.resend_at;
-  if (partition.status != PartitionStatus::kPending || waits) {
+  const bool is_waiting = partition.outstanding > 0 || partition.resend_at;
+  if (partition.status != PartitionStatus::kPending || is_waiting) {
     return;
   }
   if (!CanSendAgain(partition, kind)) {
--- a/source/common/routing/routing_table.cc
+++ b/source/common/routing/routing_table.cc
@@ -177,7 +177,7 @@
   if (holders == backends_by_shard.end()) {
     return route;
   }
-  bool some_drain = false;
+  bool some_draining = false;
   for (const std::string& name : holders->second) {
     const auto report = view().reports.find(name);
     if (report == view().reports.end() ||
@@ -185,7 +185,7 @@
       continue;
     }
     if (IsDraining(name, view())) {
-      some_drain = true;
+      some_draining = true;
       continue;
     }
     const session::Member* owner = ownership_.OwnerOf(name);
@@ -195,7 +195,7 @@
            view().backends.at(name).slots, LocalityOf(*owner)});
     }
   }
-  route.all_draining = some_drain && route.replicas.empty();
+  route.all_draining = some_draining && route.replicas.empty();
   return route;
 }
 
--- a/source/common/routing/zone_owners.cc
+++ b/source/common/routing/zone_owners.cc
@@ -35,14 +35,14 @@
     owners_.erase(backend);
   }
   for (auto& [backend, owner] : owners_) {
-    const auto still_there = owner.member == nullptr
-                                 ? candidates_.end()
-                                 : candidates_.find(owner.member->daemon_id);
-    if (still_there == candidates_.end()) {
+    const auto current_owner = owner.member == nullptr
+                                   ? candidates_.end()
+                                   : candidates_.find(owner.member->daemon_id);
+    if (current_owner == candidates_.end()) {
       ChooseFromCandidates(backend, owner);
       continue;
     }
-    owner.member = still_there->second.member;
+    owner.member = current_owner->second.member;
     for (const Candidate* candidate : added) {
       ReplaceIfPreferred(backend, *candidate, owner);
     }
--- a/test/property/routing/query_checker.cc
+++ b/test/property/routing/query_checker.cc
@@ -16,14 +16,16 @@
   return keys;
 }
 
+// Collects the violations of one query.
 class Check {
  public:
   Check(const QueryRecord& query, std::vector<std::string>& violations)
       : query_(query), violations_(violations) {}
 
-  void Expect(bool holds, const std::string& what) {
+  void Expect(bool holds, const std::string& violation) {
     if (!holds) {
-      violations_.push_back("query " + std::to_string(query_.id) + ": " + what);
+      violations_.push_back("query " + std::to_string(query_.id) + ": " +
+                            violation);
     }
   }
 
--- a/test/property/routing/query_property_test.cc
+++ b/test/property/routing/query_property_test.cc
@@ -14,7 +14,7 @@
 // Each injected defect must cause a violation within this many seeds.
 constexpr std::uint64_t kDefectSeeds = 40;
 
-std::string FirstOf(const WorldResult& result) {
+std::string FirstViolation(const WorldResult& result) {
   return result.violations.empty() ? "" : result.violations.front();
 }
 
@@ -34,7 +34,7 @@
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     const WorldResult result = RunWorld({.seed = seed});
     CAPTURE(seed);
-    CHECK(FirstOf(result) == "");
+    CHECK(FirstViolation(result) == "");
     for (const auto& [what, count] : result.counts) {
       counts[what] += count;
     }
--- a/test/property/routing/query_world.cc
+++ b/test/property/routing/query_world.cc
@@ -97,26 +97,27 @@
   void At(MonotonicTime time, std::function<void()> action) {
     events_.emplace(time, std::move(action));
   }
-  void Count(const std::string& what) { ++result_.counts[what]; }
-  void Expect(bool holds, const std::string& what) {
+  void Count(const std::string& kind) { ++result_.counts[kind]; }
+  void Expect(bool holds, const std::string& violation) {
     if (!holds) {
-      result_.violations.push_back(what);
+      result_.violations.push_back(violation);
     }
   }
 
   // --- The fleet ---
   void Publish() {
-    session::FleetView seen = fleet_.view();
+    session::FleetView published = fleet_.view();
     if (options_.defect == PlantedDefect::kIgnoresDrains) {
-      seen.machines = {};
+      published.machines = {};
       for (int i = 0; i < kBackends; ++i) {
-        seen.backends[BackendName(i)].drain = false;
+        published.backends[BackendName(i)].drain = false;
       }
     }
     if (options_.defect == PlantedDefect::kOverspends) {
-      seen.services[kService].retry_budget = 10 * kRetryBudgetShare;
+      published.services[kService].retry_budget = 10 * kRetryBudgetShare;
     }
-    front_.SetView(std::make_shared<const session::FleetView>(std::move(seen)));
+    front_.SetView(
+        std::make_shared<const session::FleetView>(std::move(published)));
   }
 
   // --- Queries ---
@@ -156,9 +157,9 @@
   void Apply(const QueryPointer& query, Actions actions) {
     QueryRecord& record = query->record;
     if (!record.outcomes.empty()) {
-      const bool silent = actions.batches.empty() &&
-                          actions.cancellations.empty() && !actions.outcome;
-      Expect(silent, "the query returned actions after its outcome");
+      const bool no_actions = actions.batches.empty() &&
+                              actions.cancellations.empty() && !actions.outcome;
+      Expect(no_actions, "the query returned actions after its outcome");
     }
     std::vector<const Batch*> unsent;
     for (const Batch& batch : actions.batches) {
