--- a/source/common/routing/routing_table.cc
+++ b/source/common/routing/routing_table.cc
@@ -30,18 +30,18 @@
       place_(std::move(place)),
       backend_names_(backend_names),
       owner_names_(owner_names) {
-  static const session::FleetView kNothing;
+  static const session::FleetView kEmptyView;
   if (previous != nullptr) {
     backends_by_service_ = previous->backends_by_service_;
   }
-  UpdateServices(previous == nullptr ? kNothing : previous->view());
+  UpdateServices(previous == nullptr ? kEmptyView : previous->view());
   if (previous != nullptr) {
-    TakeOver(*previous);
+    ReuseValidRoutes(*previous);
   }
 }
 
 void RoutingTable::UpdateServices(const session::FleetView& before) {
-  // The names of each changed service, to be edited.
+  // Copies of the name sets of the services that changed.
   std::map<std::string, std::shared_ptr<Names>> changed;
   const auto names_of = [&](const std::string& service) -> Names& {
     std::shared_ptr<Names>& names = changed[service];
@@ -74,10 +74,10 @@
   }
 }
 
-void RoutingTable::TakeOver(const RoutingTable& previous) {
+void RoutingTable::ReuseValidRoutes(const RoutingTable& previous) {
   const Names changed = ChangedServices(previous);
   for (const auto& [key, route] : previous.routes_) {
-    // A snapshot never changes; one that was deleted is not routed any more.
+    // Snapshots are immutable, so only a deleted one invalidates its routes.
     if (!changed.contains(key.first) && view().snapshots.contains(key)) {
       routes_.emplace(key, route);
     }
@@ -177,7 +177,7 @@
   if (holders == backends_by_shard.end()) {
     return route;
   }
-  bool some_drain = false;
+  bool some_draining = false;
   for (const std::string& name : holders->second) {
     const auto report = view().reports.find(name);
     if (report == view().reports.end() ||
@@ -185,7 +185,7 @@
       continue;
     }
     if (IsDraining(name, view())) {
-      some_drain = true;
+      some_draining = true;
       continue;
     }
     const session::Member* owner = ownership_.OwnerOf(name);
@@ -195,7 +195,7 @@
            view().backends.at(name).slots, LocalityOf(*owner)});
     }
   }
-  route.all_draining = some_drain && route.replicas.empty();
+  route.all_draining = some_draining && route.replicas.empty();
   return route;
 }
 
--- a/test/property/routing/query_property_test.cc
+++ b/test/property/routing/query_property_test.cc
@@ -1,5 +1,6 @@
-// The front tier's promises over seeded histories of a whole fleet, and the
-// checks' own test: planted defects must be caught.
+// Checks the front tier's guarantees over seeded histories of a simulated
+// fleet. A second test verifies the checks: they must detect each injected
+// defect.
 #include <doctest/doctest.h>
 
 #include <string>
@@ -10,14 +11,14 @@
 namespace {
 
 constexpr std::uint64_t kSeeds = 3000;
-// Enough for each planted defect to show.
+// Each injected defect must cause a violation within this many seeds.
 constexpr std::uint64_t kDefectSeeds = 40;
 
-std::string FirstOf(const WorldResult& result) {
+std::string FirstViolation(const WorldResult& result) {
   return result.violations.empty() ? "" : result.violations.front();
 }
 
-bool IsCaught(PlantedDefect defect) {
+bool IsDetected(PlantedDefect defect) {
   for (std::uint64_t seed = 1; seed <= kDefectSeeds; ++seed) {
     if (!RunWorld({.seed = seed, .defect = defect}).violations.empty()) {
       return true;
@@ -33,12 +34,12 @@
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     const WorldResult result = RunWorld({.seed = seed});
     CAPTURE(seed);
-    CHECK(FirstOf(result) == "");
+    CHECK(FirstViolation(result) == "");
     for (const auto& [what, count] : result.counts) {
       counts[what] += count;
     }
   }
-  // The runs met what they are meant to provoke.
+  // Each kind of event must occur often enough for the checks to be meaningful.
   for (const std::string what :
        {"whole", "partial", "refused, not run", "refused, may have run",
         "abandoned", "hedges", "retries", "reroutes", "restarts", "snapshots",
@@ -52,17 +53,17 @@
   MESSAGE("subqueries: " << counts["subqueries"]);
 }
 
-TEST_CASE("each planted defect is caught") {
-  CHECK(IsCaught(PlantedDefect::kMixedSnapshot));
-  CHECK(IsCaught(PlantedDefect::kFalseCoverage));
-  CHECK(IsCaught(PlantedDefect::kFalseNotRun));
-  CHECK(IsCaught(PlantedDefect::kFalseMayHaveRun));
-  CHECK(IsCaught(PlantedDefect::kRepeatsAll));
-  CHECK(IsCaught(PlantedDefect::kNoCancels));
-  CHECK(IsCaught(PlantedDefect::kIgnoresDrains));
-  CHECK(IsCaught(PlantedDefect::kOverspends));
-  CHECK(IsCaught(PlantedDefect::kLateDeadline));
-  CHECK(IsCaught(PlantedDefect::kTwoAnswers));
+TEST_CASE("the checks detect each injected defect") {
+  CHECK(IsDetected(PlantedDefect::kMixedSnapshot));
+  CHECK(IsDetected(PlantedDefect::kFalseCoverage));
+  CHECK(IsDetected(PlantedDefect::kFalseNotRun));
+  CHECK(IsDetected(PlantedDefect::kFalseMayHaveRun));
+  CHECK(IsDetected(PlantedDefect::kRepeatsAll));
+  CHECK(IsDetected(PlantedDefect::kNoCancels));
+  CHECK(IsDetected(PlantedDefect::kIgnoresDrains));
+  CHECK(IsDetected(PlantedDefect::kOverspends));
+  CHECK(IsDetected(PlantedDefect::kLateDeadline));
+  CHECK(IsDetected(PlantedDefect::kTwoAnswers));
 }
 
 }  // namespace juniperway::routing::testing
