--- a/source/common/owner/backend_gate.cc
+++ b/source/common/owner/backend_gate.cc
@@ -11,12 +11,13 @@
 
 using protocol::SubqueryOutcome;
 
-// When to ask again while the previous owner finishes.
+// Retry-after while the previous owner's searches finish.
 constexpr Duration kWaitingRetryAfter = milliseconds(20);
-// Pause after a shed of the only running subquery; doubles with each.
-constexpr Duration kFirstShedPause = milliseconds(5);
-constexpr Duration kLongestShedPause = seconds(1);
-constexpr Duration kShortestRetryAfter = milliseconds(1);
+// Backoff after the backend shed the only running subquery; doubles with each
+// further shed of this kind.
+constexpr Duration kInitialShedBackoff = milliseconds(5);
+constexpr Duration kMaximumShedBackoff = seconds(1);
+constexpr Duration kMinimumRetryAfter = milliseconds(1);
 
 }  // namespace
 
@@ -69,7 +70,7 @@
 
 GateActions BackendGate::Submit(SubqueryId id, MonotonicTime deadline,
                                 ClassIndex class_index, MonotonicTime now) {
-  if (const auto refusal = Barred(id, now)) {
+  if (const auto refusal = RefusalForAll(id, now)) {
     actions_.push_back(*refusal);
     return TakeActions();
   }
@@ -93,7 +94,7 @@
     return TakeActions();
   }
   Finish(id, SubqueryOutcome::kExpiredStarted);
-  Running& search = found->second;
+  RunningSearch& search = found->second;
   search.abandoned = true;
   search.cancelled = true;
   search.close_at = now + kAnswerGrace;
@@ -114,9 +115,9 @@
   if (found == running_.end()) {
     return TakeActions();
   }
-  const Running search = found->second;
+  const RunningSearch search = found->second;
   running_.erase(found);
-  LearnFrom(search, reply, now);
+  RecordReply(search, reply, now);
   Dispatch(now);
   return TakeActions();
 }
@@ -167,8 +168,8 @@
   }
   if (!queue_.empty()) {
     consider(queue_.Earliest().deadline);
-    if (now < paused_until_) {
-      consider(paused_until_);
+    if (now < backoff_until_) {
+      consider(backoff_until_);
     }
     if (const auto step = slow_start_.NextStep(settings_.slots, now)) {
       consider(*step);
@@ -196,7 +197,8 @@
     }
     Close(id, now);
   }
-  // Nothing starts here any more, so nothing can overtake the closes.
+  // No search starts while the gate is closed, so no new connection can reach
+  // the backend before the closes do.
   closed_until_.clear();
   cancels_ = 0;
   probe_sent_.reset();
@@ -211,8 +213,8 @@
       {possible, limit_.limit(), slow_start_.OpenSlots(settings_.slots, now)});
 }
 
-std::optional<GateAction> BackendGate::Barred(SubqueryId id,
-                                              MonotonicTime now) const {
+std::optional<GateAction> BackendGate::RefusalForAll(SubqueryId id,
+                                                     MonotonicTime now) const {
   GateAction refusal{GateActionKind::kFinish, id};
   if (stopped_ || access_ == GateAccess::kClosed) {
     refusal.outcome = SubqueryOutcome::kNotOwner;
@@ -236,7 +238,7 @@
 }
 
 bool BackendGate::CanStart(MonotonicTime now) const {
-  if (now < paused_until_ || taken_slots() >= UsableSlots(now) ||
+  if (now < backoff_until_ || taken_slots() >= UsableSlots(now) ||
       connections() >= settings_.maximum_connections) {
     return false;
   }
@@ -244,7 +246,7 @@
 }
 
 void BackendGate::Start(FairQueue::Entry entry, MonotonicTime now) {
-  Running& search = running_[entry.id];
+  RunningSearch& search = running_[entry.id];
   search.started = now;
   search.deadline = entry.deadline;
   actions_.push_back({GateActionKind::kStart, entry.id});
@@ -256,7 +258,7 @@
   }
   ProbeWhenDue(now);
   RefuseExpired(now);
-  if (Barred(0, now)) {
+  if (RefusalForAll(0, now)) {
     RefuseAll(now);
     return;
   }
@@ -264,8 +266,8 @@
     const FairQueue::Entry entry = queue_.TakeNext(now);
     const bool too_late = now + service_time_.mean() > entry.deadline;
     if (too_late && !queue_.empty()) {
-      // The slot does more good for the next one. With nobody waiting it is
-      // tried all the same, as the mean is only a guess.
+      // The next subquery can use the slot better. If no other one waits, the
+      // gate starts this one, because the mean is only an estimate.
       queue_.Forget(entry.id);
       Finish(entry.id, SubqueryOutcome::kShed, RetryAfter(now));
     } else {
@@ -285,7 +287,7 @@
 }
 
 void BackendGate::RefuseInfeasible(MonotonicTime now) {
-  const FeasibilityEstimate estimate{std::max(now, paused_until_),
+  const FeasibilityEstimate estimate{std::max(now, backoff_until_),
                                      service_time_.mean(),
                                      static_cast<double>(UsableSlots(now))};
   std::vector<SubqueryId> infeasible;
@@ -303,7 +305,7 @@
   while (!queue_.empty()) {
     const SubqueryId id = queue_.Earliest().id;
     queue_.Remove(id);
-    actions_.push_back(*Barred(id, now));
+    actions_.push_back(*RefusalForAll(id, now));
   }
 }
 
@@ -320,7 +322,7 @@
     }
   }
   for (const SubqueryId id : overdue) {
-    const Running& search = running_[id];
+    const RunningSearch& search = running_[id];
     service_time_.ObserveAtLeast(now - search.started);
     if (!search.cancelled) {
       breaker_.OnFailure(now);
@@ -331,7 +333,7 @@
 
 void BackendGate::Close(SubqueryId id, MonotonicTime now) {
   running_.erase(id);
-  closed_until_.push_back(now + kCloseNotice);
+  closed_until_.push_back(now + kClosePropagationDelay);
   actions_.push_back({GateActionKind::kCloseConnection, id});
 }
 
@@ -341,12 +343,12 @@
     return;
   }
   probe_sent_ = now;
-  next_probe_ = now + Jittered(probe_interval_);
+  next_probe_ = now + WithJitter(probe_interval_);
   actions_.push_back({GateActionKind::kProbe});
 }
 
-void BackendGate::LearnFrom(const Running& search, const BackendReply& reply,
-                            MonotonicTime now) {
+void BackendGate::RecordReply(const RunningSearch& search,
+                              const BackendReply& reply, MonotonicTime now) {
   if (reply.answered) {
     drain_.OnAnswer(reply.draining, now);
   }
@@ -354,7 +356,7 @@
     case ReplyKind::kServed:
       service_time_.Observe(now - search.started);
       limit_.OnServed();
-      pause_ = Duration::zero();
+      backoff_ = Duration::zero();
       break;
     case ReplyKind::kRefused:
       break;
@@ -375,16 +377,18 @@
   breaker_.OnAnswer();
 }
 
-void BackendGate::OnShed(const Running& search, const BackendReply& reply,
+void BackendGate::OnShed(const RunningSearch& search, const BackendReply& reply,
                          MonotonicTime now) {
   limit_.OnShed(search.started, now);
   if (!running_.empty()) {
     return;
   }
-  pause_ = pause_ == Duration::zero() ? kFirstShedPause
-                                      : std::min(kLongestShedPause, pause_ * 2);
-  const Duration asked = std::min(reply.retry_after, kLongestShedPause);
-  paused_until_ = now + std::max(asked, Jittered(pause_));
+  backoff_ = backoff_ == Duration::zero()
+                 ? kInitialShedBackoff
+                 : std::min(kMaximumShedBackoff, backoff_ * 2);
+  const Duration requested_delay =
+      std::min(reply.retry_after, kMaximumShedBackoff);
+  backoff_until_ = now + std::max(requested_delay, WithJitter(backoff_));
 }
 
 void BackendGate::Finish(SubqueryId id, SubqueryOutcome outcome,
@@ -395,10 +399,10 @@
 Duration BackendGate::RetryAfter(MonotonicTime now) const {
   const auto ahead = static_cast<std::int64_t>(queue_.size() + running_.size());
   const Duration backlog = service_time_.mean() * ahead / UsableSlots(now);
-  return std::max({kShortestRetryAfter, backlog, paused_until_ - now});
+  return std::max({kMinimumRetryAfter, backlog, backoff_until_ - now});
 }
 
-Duration BackendGate::Jittered(Duration duration) {
+Duration BackendGate::WithJitter(Duration duration) {
   std::uniform_int_distribution<Duration::rep> jitter(duration.count() * 3 / 4,
                                                       duration.count() * 5 / 4);
   return Duration(jitter(random_));
--- a/source/common/owner/backend_gate.h
+++ b/source/common/owner/backend_gate.h
@@ -1,11 +1,12 @@
-// Admission to one back end: decides what starts, waits, is refused, cancelled
-// or cut off, so that the back end's slots and connections are never exceeded.
-// Pure: time is an argument, decisions come back as actions.
+// Admission control for one backend. BackendGate decides which subqueries
+// start, wait in the queue, are refused, are cancelled or lose their
+// connection, so that the backend's slots and connections are never exceeded.
+// It does no I/O: the caller passes the time and performs the returned actions.
 //
-// A slot is taken from kStart until the back end answered or the connection was
-// closed, whether or not anyone still waits for the answer. Every submitted
-// subquery gets exactly one kFinish or one answer from the back end; after its
-// kFinish an answer is late and not to be passed on.
+// A search takes a slot from kStart until the backend has answered or the
+// connection has been closed, even if nobody waits for the answer any more.
+// Every submitted subquery gets exactly one kFinish or one answer from the
+// backend. The caller discards an answer that arrives after kFinish.
 #pragma once
 
 #include <cstddef>
@@ -28,54 +29,64 @@
 
 namespace juniperway::owner {
 
+// Limits of one backend, from its resource and its service.
 struct GateSettings {
+  // Searches that the backend runs at the same time.
   std::uint32_t slots = 1;
   std::uint32_t maximum_connections = 1;
+  // Subqueries that wait for a slot, over all request classes.
   std::uint32_t queue_limit = 64;
+  // Time after a cold start or an outage in which the slots open one by one.
   Duration slow_start{0};
-  // Of the service's request classes, in their order.
+  // Weights of the service's request classes, in the order of the classes.
   std::vector<std::uint32_t> class_weights = {1};
   bool operator==(const GateSettings&) const = default;
 };
 
-// Whether this daemon may use the back end.
+// Whether this daemon may use the backend.
 enum class GateAccess {
-  kClosed,   // Not the owner (any more): nothing starts, the rest finishes.
-  kWaiting,  // The owner, but the previous one may still be using it.
-  kOpen,     // The owner.
+  kClosed,   // This daemon is not the owner: nothing starts, the rest finishes.
+  kWaiting,  // This daemon is the owner; the previous one may still send.
+  kOpen,     // This daemon is the owner and may send.
 };
 
 enum class GateActionKind {
   kStart,            // Send the search.
-  kFinish,           // Tell the front `outcome`; a later answer is late.
+  kFinish,           // Send `outcome` to the front; discard a later answer.
   kSendCancel,       // POST /v1/cancel; then call OnCancelDone.
-  kCloseConnection,  // Abandon the search's exchange.
+  kCloseConnection,  // Close the connection of the search.
   kProbe,            // GET /v1/health; then call OnProbeDone.
 };
 
+// One action that the caller of BackendGate has to perform.
 struct GateAction {
   GateActionKind kind = GateActionKind::kFinish;
   SubqueryId id = 0;
+  // For kFinish only.
   protocol::SubqueryOutcome outcome = protocol::SubqueryOutcome::kShed;
-  // For refusals: when to come back; 0 if unknown.
+  // For refusals: delay after which the front may send the subquery again; 0 if
+  // unknown.
   Duration retry_after{0};
 };
 
 using GateActions = std::vector<GateAction>;
 
+// Admission control for one backend. The owner half of a gateway keeps one
+// BackendGate for each backend of its zone.
 class BackendGate {
  public:
-  // How long the answer to a cancelled or expired search is awaited before its
-  // connection is closed.
+  // How long the gate waits for the answer to a cancelled or expired search
+  // before it closes the connection.
   static constexpr Duration kAnswerGrace = milliseconds(50);
-  // How long a closed connection and its slot still count: what starts in their
-  // place opens another connection, which must not reach the back end before
-  // the close does. Many times what a back end takes to read one event after
-  // the other; integration.gateway/owner_flood shows the race without it.
-  static constexpr Duration kCloseNotice = milliseconds(5);
-
-  // Starts as kClosed.
-  // @param seed of the jitter of back-off and probes.
+  // How long a closed connection and its slot still count as used. The next
+  // search may open another connection, which must not reach the backend before
+  // the close does, or the backend exceeds its limits
+  // (integration.gateway/owner_flood shows this race). The value is many times
+  // the time that a backend takes to read one event after the other.
+  static constexpr Duration kClosePropagationDelay = milliseconds(5);
+
+  // The gate is kClosed until SetAccess.
+  // @param seed of the jitter of backoffs and probe intervals.
   BackendGate(const GateSettings& settings, Duration probe_interval,
               std::uint64_t seed);
 
@@ -84,55 +95,60 @@
   // See CircuitBreaker::SetMayOpen.
   GateActions SetMayEject(bool may_eject, MonotonicTime now);
   GateActions SetDraining(DrainSource level, bool draining, MonotonicTime now);
-  // What the previous owner reported; see DrainState.
+  // Sets the state that the previous owner reported; see DrainState.
   GateActions SetReportedDraining(bool draining, MonotonicTime now);
 
-  // @param deadline when an answer from the back end is of no more use.
-  // @param class_index of its request class; beyond the last: the first.
+  // @param deadline by which the backend's answer must be there.
+  // @param class_index position of the request class; a position beyond the
+  //   last class counts as the first class.
   GateActions Submit(SubqueryId id, MonotonicTime deadline,
                      ClassIndex class_index, MonotonicTime now);
   GateActions Submit(SubqueryId id, MonotonicTime deadline, MonotonicTime now) {
     return Submit(id, deadline, 0, now);
   }
 
-  // Nobody waits for `id` any more. Unknown ids are ignored.
+  // The front no longer waits for `id`. Unknown ids are ignored.
   GateActions Cancel(SubqueryId id, MonotonicTime now);
 
-  // The exchange of a started search ended.
+  // The HTTP exchange of a started search ended.
   GateActions OnReply(SubqueryId id, const BackendReply& reply,
                       MonotonicTime now);
   GateActions OnCancelDone(MonotonicTime now);
-  // @param cold, draining as health says; nothing when the probe failed.
+  // State of the backend according to its health endpoint.
   struct ProbeResult {
     bool cold = false;
     bool draining = false;
   };
+  // @param result nothing if the probe failed.
   GateActions OnProbeDone(const std::optional<ProbeResult>& result,
                           MonotonicTime now);
 
-  // Call at NextTimer(); harmless at any other time.
+  // The caller calls OnTimer at NextTimer(); calls at other times are harmless.
   GateActions OnTimer(MonotonicTime now);
   std::optional<MonotonicTime> NextTimer(MonotonicTime now) const;
 
-  // The planned stop: queued subqueries are refused, nothing new starts.
+  // Begins a graceful shutdown: refuses the queued subqueries and all later
+  // ones. Running searches finish.
   GateActions Stop(MonotonicTime now);
 
-  // Closes every connection at once: for the end of the lease. Started searches
-  // end as kLost. The caller closes cancels and probes along with them.
+  // Closes every connection at once, because the lease ended. Started searches
+  // end as kLost. The caller also closes the connections of cancels and probes.
   GateActions CutOff(MonotonicTime now);
 
-  // Nothing is queued, running, being cancelled or probed.
+  // True if no subquery is queued and no connection is in use.
   bool idle() const { return queue_.empty() && connections() == 0; }
 
   std::uint32_t running() const {
     return static_cast<std::uint32_t>(running_.size());
   }
   std::size_t queued() const { return queue_.size(); }
-  // In use: searches, cancels, the probe, and those closed just now.
+  // Connections in use: by searches, cancels and the probe, and those closed
+  // less than kClosePropagationDelay ago.
   std::uint32_t connections() const {
     return taken_slots() + cancels_ + (probe_sent_ ? 1 : 0);
   }
-  // Slots usable at `now`.
+  // Concurrency limit at `now`: the least of slots, maximum connections,
+  // adaptive limit and slow start.
   std::uint32_t UsableSlots(MonotonicTime now) const;
   GateAccess access() const { return access_; }
   DrainSource drain_source() const { return drain_.source(); }
@@ -143,26 +159,30 @@
   const GateSettings& settings() const { return settings_; }
 
  private:
-  struct Running {
+  struct RunningSearch {
     MonotonicTime started;
     MonotonicTime deadline;
-    // The front has its outcome; the slot is kept all the same.
+    // The front has the outcome; the search keeps its slot until `close_at`.
     bool abandoned = false;
-    // It was cancelled, so a missing answer says nothing of the back end.
+    // The search was cancelled, so a missing answer is not a backend failure.
     bool cancelled = false;
-    // When the connection is closed if no answer comes.
+    // When the gate closes the connection if no answer has come.
     MonotonicTime close_at;
   };
 
-  // Why nothing may be submitted at all, if so.
-  std::optional<GateAction> Barred(SubqueryId id, MonotonicTime now) const;
-  // By searches that run and by those whose connection was closed just now.
+  // The refusal for `id` while the gate admits no subquery at all; nothing
+  // while it admits subqueries.
+  std::optional<GateAction> RefusalForAll(SubqueryId id,
+                                          MonotonicTime now) const;
+  // Slots of running searches, and of those whose connection was closed less
+  // than kClosePropagationDelay ago.
   std::uint32_t taken_slots() const {
     return running() + static_cast<std::uint32_t>(closed_until_.size());
   }
   bool CanStart(MonotonicTime now) const;
   void Start(FairQueue::Entry entry, MonotonicTime now);
-  // Starts what may start, refuses what cannot finish, probes when due.
+  // Starts the subqueries that may start, refuses those that cannot finish in
+  // time, and sends a probe when it is due.
   void Dispatch(MonotonicTime now);
   void RefuseExpired(MonotonicTime now);
   void RefuseInfeasible(MonotonicTime now);
@@ -170,14 +190,14 @@
   void ExpireRunning(MonotonicTime now);
   void Close(SubqueryId id, MonotonicTime now);
   void ProbeWhenDue(MonotonicTime now);
-  void LearnFrom(const Running& search, const BackendReply& reply,
-                 MonotonicTime now);
-  void OnShed(const Running& search, const BackendReply& reply,
+  void RecordReply(const RunningSearch& search, const BackendReply& reply,
+                   MonotonicTime now);
+  void OnShed(const RunningSearch& search, const BackendReply& reply,
               MonotonicTime now);
   void Finish(SubqueryId id, protocol::SubqueryOutcome outcome,
               Duration retry_after = Duration::zero());
   Duration RetryAfter(MonotonicTime now) const;
-  Duration Jittered(Duration duration);
+  Duration WithJitter(Duration duration);
   GateActions TakeActions() { return std::exchange(actions_, {}); }
 
   GateSettings settings_;
@@ -186,16 +206,18 @@
   GateAccess access_ = GateAccess::kClosed;
   bool stopped_ = false;
   FairQueue queue_;
-  std::map<SubqueryId, Running> running_;
-  // Of connections closed just now: until when each counts, in this order.
+  std::map<SubqueryId, RunningSearch> running_;
+  // For each connection closed recently, the time until which it counts as
+  // used; ascending.
   std::deque<MonotonicTime> closed_until_;
   std::uint32_t cancels_ = 0;
   std::optional<MonotonicTime> probe_sent_;
   MonotonicTime next_probe_;
   bool cold_ = false;
-  // The back end shed with nothing else running: pause before the next one.
-  MonotonicTime paused_until_;
-  Duration pause_{0};
+  // The backend shed the only running search: no search starts before this
+  // time.
+  MonotonicTime backoff_until_;
+  Duration backoff_{0};
   ServiceTimeEstimate service_time_;
   AdaptiveLimit limit_;
   SlowStart slow_start_;
--- a/source/common/owner/backend_health.cc
+++ b/source/common/owner/backend_health.cc
@@ -20,7 +20,7 @@
   return version;
 }
 
-// False when the map is malformed.
+// @return false if the map is malformed.
 bool ReadVersions(const Json& versions, HealthReport& report) {
   if (!versions.is_object()) {
     return false;
@@ -86,7 +86,7 @@
     }
   }
   std::erase_if(observations_, [now](const auto& item) {
-    return now >= item.second.at + kAnswerHold;
+    return now >= item.second.at + kAnswerPrecedenceWindow;
   });
   for (const auto& [version, observation] : observations_) {
     if (observation.held) {
--- a/source/common/owner/backend_health.h
+++ b/source/common/owner/backend_health.h
@@ -1,5 +1,6 @@
-// What a back end's health endpoint says, and which index versions it holds by
-// all that is known: health lags and may mislead, real answers do not. Pure.
+// Parses the answer of a backend's health endpoint, and tracks which index
+// versions the backend holds. The health endpoint lags behind the backend's
+// state and may be wrong; answers to searches are reliable. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -14,35 +15,39 @@
 
 namespace juniperway::owner {
 
+// State of a backend according to its health endpoint.
 struct HealthReport {
   bool cold = false;
   bool draining = false;
-  // Index version to the shards held at it.
+  // The shards that the backend holds, by index version.
   std::map<resources::IndexVersion, std::set<std::string>> index_versions;
 };
 
-// Nothing when the probe failed or the body is malformed.
+// @return nothing if the probe failed or the body is malformed.
 std::optional<HealthReport> ParseHealth(
     const net::HttpClientResponse& response);
 
-// Declared index version to the shards of it that a back end is to hold.
+// The shards that a backend must hold, by declared index version.
 using RequiredShards = std::map<resources::IndexVersion, std::set<std::string>>;
 
-// The index versions at which a back end holds all its shards. A real answer
-// (served, or refused as not held) outweighs health for kAnswerHold.
+// The index versions at which a backend holds all its shards. The owner keeps
+// one for each of its backends. An answer to a search (served, or refused as
+// not held) takes precedence over health for kAnswerPrecedenceWindow.
 class HeldVersions {
  public:
-  static constexpr Duration kAnswerHold = seconds(5);
+  static constexpr Duration kAnswerPrecedenceWindow = seconds(5);
 
-  // What the previous owner had reported, until the first probe.
+  // Sets the versions that the previous owner reported; they apply until the
+  // first probe.
   void Start(std::set<resources::IndexVersion> held);
 
-  // @param required the shards the back end must have at each declared version
-  //   to count as its holder; versions not declared are left out.
+  // @param required the shards that the backend must have at each declared
+  //   version to count as its holder. Versions not listed are never held.
   void OnHealth(const HealthReport& report, const RequiredShards& required,
                 MonotonicTime now);
 
-  // A search at `version` was served (`held`) or refused as not held.
+  // The backend served a search at `version` (`held`), or refused it because it
+  // does not hold the version.
   void OnAnswer(resources::IndexVersion version, bool held, MonotonicTime now);
 
   const std::set<resources::IndexVersion>& held() const { return held_; }
--- a/source/common/owner/backend_reply.cc
+++ b/source/common/owner/backend_reply.cc
@@ -28,7 +28,7 @@
   return number;
 }
 
-// "running/slots".
+// Parses "running/slots".
 std::optional<BackendLoad> ParseLoad(std::string_view text) {
   const std::size_t slash = text.find('/');
   if (slash == std::string_view::npos) {
@@ -50,7 +50,8 @@
   return seconds(whole_seconds.value_or(0));
 }
 
-// Keeps the rows inside the range. False when a row is malformed.
+// Keeps the rows inside the range.
+// @return false if a row is malformed.
 bool ReadRows(Json& rows, const KeyRange& range, BackendReply& reply) {
   if (!rows.is_array()) {
     return false;
@@ -76,7 +77,7 @@
   return true;
 }
 
-// Empty when the body is what was asked for.
+// @return why the body is not usable; empty if it matches the request.
 std::string ReadBody(const std::string& text, const SearchExpectation& expected,
                      BackendReply& reply) {
   Json body = Json::parse(text, nullptr, /*allow_exceptions=*/false);
@@ -86,16 +87,16 @@
   const auto version = body.find("index_version");
   if (version == body.end() || !version->is_number_unsigned() ||
       version->get<resources::IndexVersion>() != expected.index_version) {
-    return "body is of another index version";
+    return "index_version is missing or differs from the requested one";
   }
   const auto shard = body.find("shard");
   if (shard == body.end() || !shard->is_string() ||
       shard->get_ref<const std::string&>() != expected.shard) {
-    return "body is of another shard";
+    return "shard is missing or differs from the requested one";
   }
   const auto rows = body.find("rows");
   if (rows == body.end() || !ReadRows(*rows, expected.range, reply)) {
-    return "rows are malformed";
+    return "rows are missing or malformed";
   }
   return {};
 }
@@ -138,7 +139,7 @@
                               : SubqueryOutcome::kExpiredStarted;
       return;
     default:
-      return;  // Not in the protocol: it may have run.
+      return;  // Not a status of the protocol: the search may have run.
   }
 }
 
--- a/source/common/owner/backend_reply.h
+++ b/source/common/owner/backend_reply.h
@@ -1,5 +1,5 @@
-// What a back end's reply to a search means: the table of
-// docs/design/interfaces.md, "Back-end protocol". Pure.
+// Interprets a backend's reply to a search, as the table of
+// docs/design/interfaces.md, "Back-end protocol", defines it. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -15,53 +15,56 @@
 
 namespace juniperway::owner {
 
-// The subquery that was sent.
+// The subquery that was sent, which the reply must match.
 struct SearchExpectation {
   std::string shard;
   resources::IndexVersion index_version = 0;
   KeyRange range;
 };
 
+// One row of a search result.
 struct SearchRow {
   Key key = 0;
   std::string value;
 };
 
-// What the back end says about its load; lags and may mislead.
+// Load that the backend reports, from X-Load. It lags behind the backend's
+// state and may be wrong.
 struct BackendLoad {
   std::uint32_t running = 0;
   std::uint32_t slots = 0;
 };
 
-// How the exchange went, for the gate's own decisions.
+// Result of the HTTP exchange, for BackendGate.
 enum class ReplyKind {
-  kServed,       // 200 with the rows asked for.
-  kRefused,      // 409: not held.
+  kServed,       // 200 with rows of the requested shard and index version.
+  kRefused,      // 409: the backend does not hold the index version.
   kShed,         // 429 or 503.
-  kStopped,      // 499 or 504: cancelled or out of time.
-  kUnreachable,  // Nothing was sent.
-  kBroken,       // Sent, but no usable answer.
+  kStopped,      // 499 or 504: cancelled, or the deadline passed.
+  kUnreachable,  // No byte was sent.
+  kBroken,       // The request was sent, but no usable answer came.
 };
 
+// A backend's reply to one search.
 struct BackendReply {
   ReplyKind kind = ReplyKind::kBroken;
   protocol::SubqueryOutcome outcome = protocol::SubqueryOutcome::kLost;
   std::vector<SearchRow> rows;
-  // Rows outside the asked range, left out of `rows`.
+  // Rows outside the requested range, left out of `rows`.
   std::uint32_t dropped_rows = 0;
-  // Any complete HTTP answer came.
+  // A complete HTTP answer came, with any status.
   bool answered = false;
-  // It bore X-Draining: true.
+  // The answer has the header X-Draining: true.
   bool draining = false;
   std::optional<BackendLoad> load;
-  // From Retry-After; 0 if not given.
+  // From X-Retry-After-Ms or Retry-After; 0 if the answer has neither.
   Duration retry_after{0};
-  // Why a 200 was not passed on; empty otherwise.
+  // Why the body of a 200 was discarded; empty otherwise.
   std::string fault;
 };
 
-// Never gives kRows for another shard or index version than expected: such a
-// body may come of a run, so it counts as lost.
+// Never returns kRows for a shard or index version other than the expected one.
+// The backend may have run the search for such a body, so its outcome is kLost.
 BackendReply InterpretSearchReply(const net::HttpClientResponse& response,
                                   const SearchExpectation& expected);
 
--- a/source/common/owner/circuit_breaker.cc
+++ b/source/common/owner/circuit_breaker.cc
@@ -6,8 +6,8 @@
 namespace {
 
 constexpr std::uint32_t kFailuresToOpen = 5;
-constexpr Duration kFirstPause = milliseconds(100);
-constexpr Duration kLongestPause = seconds(5);
+constexpr Duration kInitialBackoff = milliseconds(100);
+constexpr Duration kMaximumBackoff = seconds(5);
 
 }  // namespace
 
@@ -24,7 +24,7 @@
 void CircuitBreaker::OnAnswer() {
   open_ = false;
   consecutive_failures_ = 0;
-  pause_ = Duration::zero();
+  backoff_ = Duration::zero();
 }
 
 void CircuitBreaker::OnFailure(MonotonicTime now) {
@@ -32,7 +32,8 @@
   if (!may_open_) {
     return;
   }
-  // Failures of subqueries that were sent before it opened change nothing.
+  // Failures of subqueries that were sent before the breaker opened do not
+  // lengthen the backoff.
   if (State(now) == BreakerState::kHalfOpen ||
       (!open_ && consecutive_failures_ >= kFailuresToOpen)) {
     Open(now);
@@ -54,11 +55,13 @@
 
 void CircuitBreaker::Open(MonotonicTime now) {
   open_ = true;
-  pause_ = pause_ == Duration::zero() ? kFirstPause
-                                      : std::min(kLongestPause, pause_ * 2);
-  // Half to one and a half of the pause, so that owners do not retry in step.
-  std::uniform_int_distribution<Duration::rep> jitter(pause_.count() / 2,
-                                                      pause_.count() * 3 / 2);
+  backoff_ = backoff_ == Duration::zero()
+                 ? kInitialBackoff
+                 : std::min(kMaximumBackoff, backoff_ * 2);
+  // The jitter spans 0.5 to 1.5 times the backoff, so that owners do not retry
+  // at the same time.
+  std::uniform_int_distribution<Duration::rep> jitter(backoff_.count() / 2,
+                                                      backoff_.count() * 3 / 2);
   retry_at_ = now + Duration(jitter(random_));
 }
 
--- a/source/common/owner/circuit_breaker.h
+++ b/source/common/owner/circuit_breaker.h
@@ -1,5 +1,5 @@
-// Stops sending to a back end that fails again and again, and tries it again
-// after a growing, jittered pause.
+// Stops sending to a backend after consecutive failures, and tries it again
+// after a growing backoff with jitter. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -10,32 +10,34 @@
 namespace juniperway::owner {
 
 enum class BreakerState {
-  kClosed,    // Traffic flows.
-  kOpen,      // Nothing is sent until retry_at().
-  kHalfOpen,  // The pause is over: one subquery at a time tries it.
+  kClosed,    // Subqueries are sent.
+  kOpen,      // No subquery is sent until retry_at().
+  kHalfOpen,  // The backoff is over: one subquery at a time is sent as a trial.
 };
 
+// Circuit breaker of one backend, owned by its BackendGate.
 class CircuitBreaker {
  public:
   // @param seed of the jitter.
   explicit CircuitBreaker(std::uint64_t seed);
 
-  // False keeps the breaker closed, and closes it: too large a share of the
-  // replicas would be out.
+  // False closes the breaker and keeps it closed, because too large a share of
+  // the replicas would be ejected otherwise.
   void SetMayOpen(bool may_open);
 
-  // The back end gave an answer, whatever it said.
+  // The backend answered, with any status.
   void OnAnswer();
 
-  // No connection, a broken one, or no answer at all within the deadline.
+  // The connection could not be opened or broke, or no answer came before the
+  // deadline.
   void OnFailure(MonotonicTime now);
 
-  // There is a sign that the back end is back: ends a pause under way.
+  // Ends the current backoff, because the backend answered a probe.
   void AllowTrial(MonotonicTime now);
 
   BreakerState State(MonotonicTime now) const;
 
-  // End of the pause. Meaningful while open.
+  // End of the backoff. Meaningful only while the breaker is open.
   MonotonicTime retry_at() const { return retry_at_; }
 
  private:
@@ -45,7 +47,7 @@
   bool may_open_ = true;
   bool open_ = false;
   std::uint32_t consecutive_failures_ = 0;
-  Duration pause_{0};
+  Duration backoff_{0};
   MonotonicTime retry_at_;
 };
 
--- a/source/common/owner/concurrency_limit.cc
+++ b/source/common/owner/concurrency_limit.cc
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr double kDecreaseFactor = 0.7;
-// Slots regained by one limit's worth of served subqueries.
+// Slots by which the limit grows after as many served subqueries as the limit.
 constexpr double kIncreasePerRound = 0.25;
 
 }  // namespace
@@ -52,7 +52,7 @@
   if (open >= slots) {
     return std::nullopt;
   }
-  // Rounded up, so that the step has been taken when the time comes.
+  // Rounded up, so that OpenSlots counts the slot as open at that time.
   const auto steps = slots - 1;
   const Duration offset((length_.count() * open + steps - 1) / steps);
   return begin_ + offset;
--- a/source/common/owner/concurrency_limit.h
+++ b/source/common/owner/concurrency_limit.h
@@ -1,5 +1,5 @@
-// How many of a back end's slots may be used right now: fewer after it shed
-// load, and fewer while it warms up after a cold start or an outage.
+// Bounds on how many of a backend's slots may be used: AdaptiveLimit after the
+// backend shed subqueries, SlowStart after a cold start or an outage. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -9,19 +9,21 @@
 
 namespace juniperway::owner {
 
-// Additive increase, multiplicative decrease between 1 and the slots.
+// Concurrency limit of one backend, owned by its BackendGate: additive
+// increase, multiplicative decrease between 1 and the number of slots.
 class AdaptiveLimit {
  public:
   explicit AdaptiveLimit(std::uint32_t slots);
 
   void SetSlots(std::uint32_t slots);
 
-  // The back end refused a subquery although at most `limit()` were running.
-  // @param started when it was sent: sheds of what was sent before the last
-  //   decrease are the same sign of overload, and change nothing.
+  // The backend shed a subquery although at most `limit()` were running.
+  // @param started when the subquery was sent. Sheds of subqueries that were
+  //   sent before the last decrease come from the same overload and do not
+  //   decrease the limit again.
   void OnShed(MonotonicTime started, MonotonicTime now);
 
-  // The back end served a subquery.
+  // The backend served a subquery.
   void OnServed();
 
   std::uint32_t limit() const { return static_cast<std::uint32_t>(limit_); }
@@ -32,15 +34,17 @@
   std::optional<MonotonicTime> decreased_at_;
 };
 
-// Opens the slots one after the other over a set time.
+// Opens the slots of one backend one after the other over a set time. Owned by
+// the backend's BackendGate.
 class SlowStart {
  public:
   void Begin(MonotonicTime now, Duration length);
 
-  // Slots open at `now`; at least one.
+  // @param slots number of all slots.
+  // @return number of slots open at `now`; at least one.
   std::uint32_t OpenSlots(std::uint32_t slots, MonotonicTime now) const;
 
-  // When the next slot opens; nothing once all are open.
+  // @return when the next slot opens; nothing once all are open.
   std::optional<MonotonicTime> NextStep(std::uint32_t slots,
                                         MonotonicTime now) const;
 
--- a/source/common/owner/drain_state.cc
+++ b/source/common/owner/drain_state.cc
@@ -19,8 +19,8 @@
 }
 
 void DrainState::SetReported(bool draining, MonotonicTime now) {
-  if (draining && !health_since_) {
-    health_since_ = now;
+  if (draining && !health_draining_since_) {
+    health_draining_since_ = now;
   }
 }
 
@@ -29,26 +29,27 @@
     header_seen_ = now;
     return;
   }
-  if (health_since_ && now >= *health_since_ + kContradictionDelay) {
-    health_since_.reset();
-    distrust_until_ = now + kDistrust;
+  if (health_draining_since_ &&
+      now >= *health_draining_since_ + kContradictionDelay) {
+    health_draining_since_.reset();
+    health_ignored_until_ = now + kHealthIgnoredWindow;
   }
 }
 
 void DrainState::OnHealth(bool draining, MonotonicTime sent,
                           MonotonicTime now) {
   if (!draining) {
-    health_since_.reset();
-    if (header_seen_ && sent >= *header_seen_ + kHeaderHold) {
+    health_draining_since_.reset();
+    if (header_seen_ && sent >= *header_seen_ + kHeaderPrecedenceWindow) {
       header_seen_.reset();
     }
     return;
   }
-  if (distrust_until_ && now < *distrust_until_) {
+  if (health_ignored_until_ && now < *health_ignored_until_) {
     return;
   }
-  if (!health_since_) {
-    health_since_ = now;
+  if (!health_draining_since_) {
+    health_draining_since_ = now;
   }
 }
 
@@ -62,7 +63,7 @@
   if (header_seen_) {
     return DrainSource::kAnswer;
   }
-  return health_since_ ? DrainSource::kHealth : DrainSource::kNone;
+  return health_draining_since_ ? DrainSource::kHealth : DrainSource::kNone;
 }
 
 }  // namespace juniperway::owner
--- a/source/common/owner/drain_state.h
+++ b/source/common/owner/drain_state.h
@@ -1,4 +1,5 @@
-// Whether a back end is leaving, from sources that lag and may mislead.
+// Decides whether a backend drains, from sources that lag and may be wrong.
+// No I/O.
 #pragma once
 
 #include <optional>
@@ -8,32 +9,37 @@
 
 namespace juniperway::owner {
 
-// Who said that the back end drains, the most reliable first.
+// Which source says that the backend drains; after kNone, the most reliable
+// first.
 enum class DrainSource { kNone, kOperator, kPlatform, kAnswer, kHealth };
 
 std::string_view DrainSourceName(DrainSource source);
 
-// Whichever source speaks first counts. How each is withdrawn:
-//  - operator and platform: when their own word changes;
-//  - an answer's X-Draining header: the header is the back end's own state at
-//    that moment, while health lags; so it holds for kHeaderHold after it was
-//    last seen, and then until health says otherwise;
-//  - health: when health says otherwise, or when a real answer that came at
-//    least kContradictionDelay later bears no X-Draining; health is then not
-//    believed for kDistrust.
+// Drain state of one backend, owned by its BackendGate. The backend drains as
+// soon as any source reports a drain. Each source withdraws its report in its
+// own manner:
+//  - operator and platform: when they report the end of the drain;
+//  - the X-Draining header of an answer, which is the backend's state at that
+//    moment, while health lags: the header holds for kHeaderPrecedenceWindow
+//    after the last answer that had it, and then until health reports no drain;
+//  - health: when health reports no drain, or when an answer without X-Draining
+//    comes at least kContradictionDelay after health's report. DrainState then
+//    ignores drains reported by health for kHealthIgnoredWindow.
 class DrainState {
  public:
-  static constexpr Duration kHeaderHold = seconds(10);
+  static constexpr Duration kHeaderPrecedenceWindow = seconds(10);
   static constexpr Duration kContradictionDelay = milliseconds(100);
-  static constexpr Duration kDistrust = seconds(10);
+  static constexpr Duration kHealthIgnoredWindow = seconds(10);
 
   void SetOperator(bool draining) { operator_ = draining; }
   void SetPlatform(bool draining) { platform_ = draining; }
 
-  // What the previous owner had reported; counts as health's word.
+  // Sets the state that the previous owner reported; it counts as a report by
+  // health.
   void SetReported(bool draining, MonotonicTime now);
 
-  // A real answer came.
+  // The backend answered a search.
+  // @param draining whether the answer has X-Draining.
   void OnAnswer(bool draining, MonotonicTime now);
 
   // The health endpoint answered a probe sent at `sent`.
@@ -45,11 +51,11 @@
  private:
   bool operator_ = false;
   bool platform_ = false;
-  // When an answer last said so.
+  // Time of the last answer with X-Draining.
   std::optional<MonotonicTime> header_seen_;
-  // When health first said so.
-  std::optional<MonotonicTime> health_since_;
-  std::optional<MonotonicTime> distrust_until_;
+  // Time of health's first report of the present drain.
+  std::optional<MonotonicTime> health_draining_since_;
+  std::optional<MonotonicTime> health_ignored_until_;
 };
 
 }  // namespace juniperway::owner
--- a/source/common/owner/ejection.h
+++ b/source/common/owner/ejection.h
@@ -1,6 +1,7 @@
-// How many replicas of a partition the circuit breakers may take out at once.
-// An owner sees only the breakers of its own back ends, so the share is kept
-// among these; fronts keep it over all of a partition's replicas. Pure.
+// Bounds how many replicas of a partition the circuit breakers may eject at the
+// same time. An owner sees only the breakers of its own backends, so it bounds
+// the share among these; fronts bound it over all replicas of a partition. No
+// I/O.
 #pragma once
 
 #include <map>
@@ -11,22 +12,25 @@
 
 namespace juniperway::owner {
 
+// Decides for one owner whose circuit breakers may be open. The owner makes a
+// new policy from each view.
 class EjectionPolicy {
  public:
-  // @param owned names of the back ends of this owner.
+  // @param owned names of the backends of this owner.
   EjectionPolicy(const session::FleetView& view,
                  const std::set<std::string>& owned);
 
-  // Whether `backend`'s breaker may be open, given whose are open now. Among
-  // open ones the first by name keep the right, so that not all close at once.
+  // Whether the breaker of `backend` may be open.
+  // @param open names of the backends whose breakers are open now. Of these the
+  //   first by name may stay open, so that not all of them close at once.
   bool MayEject(const std::string& backend,
                 const std::set<std::string>& open) const;
 
  private:
   struct Limit {
-    // Most of the replicas of any one shard that may be out.
+    // Maximum number of ejected replicas, over the backend's shards the least.
     std::size_t maximum_out = 0;
-    // Other owned back ends with a shard in common.
+    // Other owned backends that hold one of the backend's shards.
     std::set<std::string> peers;
   };
   std::map<std::string, Limit> limits_;
--- a/source/common/owner/fair_queue.cc
+++ b/source/common/owner/fair_queue.cc
@@ -20,27 +20,27 @@
       classes_[index].clock = before[index].clock;
     }
   }
-  for (auto& [id, place] : classes_by_id_) {
-    place.class_index = Known(place.class_index);
-    classes_[place.class_index].entries.insert({place.deadline, id});
+  for (auto& [id, queued] : queued_) {
+    queued.class_index = ResolveClass(queued.class_index);
+    classes_[queued.class_index].entries.insert({queued.deadline, id});
   }
 }
 
 void FairQueue::Insert(SubqueryId id, MonotonicTime deadline,
                        ClassIndex class_index) {
-  const ClassIndex known = Known(class_index);
-  classes_[known].entries.insert({deadline, id});
-  classes_by_id_[id] = {known, deadline};
+  const ClassIndex resolved = ResolveClass(class_index);
+  classes_[resolved].entries.insert({deadline, id});
+  queued_[id] = {resolved, deadline};
 }
 
 bool FairQueue::Remove(SubqueryId id) {
-  const auto found = classes_by_id_.find(id);
-  if (found == classes_by_id_.end()) {
+  const auto found = queued_.find(id);
+  if (found == queued_.end()) {
     return false;
   }
   classes_[found->second.class_index].entries.erase(
       {found->second.deadline, id});
-  classes_by_id_.erase(found);
+  queued_.erase(found);
   return true;
 }
 
@@ -68,13 +68,13 @@
 
 void FairQueue::Charge(SubqueryId id, Duration slot_time, MonotonicTime now) {
   const auto taken = taken_.find(id);
-  Class& charged = classes_[Known(taken->second)];
+  Class& charged = classes_[ResolveClass(taken->second)];
   taken_.erase(taken);
   const double tick =
       static_cast<double>(slot_time.count()) * total_weight_ / charged.weight;
   const MonotonicTime ticked =
       std::max(charged.clock, now) + Duration(static_cast<Duration::rep>(tick));
-  charged.clock = std::min(ticked, now + kLongestLead);
+  charged.clock = std::min(ticked, now + kMaximumLead);
 }
 
 FairQueue::Entry FairQueue::LastOfLongest() const {
--- a/source/common/owner/fair_queue.h
+++ b/source/common/owner/fair_queue.h
@@ -1,18 +1,20 @@
-// Subqueries that wait for a slot: fair between request classes, shortest
-// remaining time first within a class. Pure.
+// Queue of the subqueries that wait for a slot of one backend. The queue is
+// fair between request classes; within a class the subquery with the shortest
+// remaining time goes first. No I/O.
 //
-// Between classes it follows VirtualClock (L. Zhang, "VirtualClock: A New
-// Traffic Control Algorithm for Packet-Switched Networks", ACM Transactions on
-// Computer Systems 9(2), 1991): each class has a clock that ticks by the
-// reciprocal of its share of the back end's rate with each start, and is moved
-// up to real time when it lags. The class whose clock reads least goes next, so
-// one that stays within its share is not held up by one that does not, while
-// idle slots go to whoever has work. Other than in the paper
-//  - the clock ticks at the start and not at the arrival, so that what is
-//    cancelled, expired or refused is not charged;
-//  - a clock is at most kLongestLead ahead of real time, so that a class that
-//    used idle slots is not shut out for long once others come;
-//  - classes that are within their share are ordered by remaining time.
+// Between classes the queue follows VirtualClock (L. Zhang, "VirtualClock: A
+// New Traffic Control Algorithm for Packet-Switched Networks", ACM Transactions
+// on Computer Systems 9(2), 1991). Each class has a clock that each start
+// advances by the reciprocal of the class's share of the backend's rate. A
+// clock that lags behind real time is set to real time. The class with the
+// earliest clock goes next, so a class that stays within its share does not
+// wait for one that exceeds its share, and idle slots go to any class with
+// queued subqueries. The queue differs from the paper in three points:
+//  - A clock advances at the start and not at the arrival, so that cancelled,
+//    expired or refused subqueries are not charged.
+//  - A clock is at most kMaximumLead ahead of real time, so that a class that
+//    used idle slots does not wait long once other classes have subqueries.
+//  - Classes that are within their share are ordered by remaining time.
 #pragma once
 
 #include <cstddef>
@@ -26,17 +28,20 @@
 
 namespace juniperway::owner {
 
-// Names a subquery within this process; chosen by the caller, never reused.
+// Identifies a subquery within this process; chosen by the caller, never
+// reused.
 using SubqueryId = std::uint64_t;
 // Position of a request class in its service.
 using ClassIndex = std::uint32_t;
 
+// Queue of the subqueries that wait for one backend, owned by its BackendGate.
 class FairQueue {
  public:
-  static constexpr Duration kLongestLead = milliseconds(50);
+  static constexpr Duration kMaximumLead = milliseconds(50);
 
-  // All waiting subqueries share one clock, so the shortest remaining time is
-  // the earliest deadline. Equal deadlines keep the order of their ids.
+  // One queued subquery. All deadlines are of one clock, so the shortest
+  // remaining time is the earliest deadline. Entries with equal deadlines are
+  // ordered by id.
   struct Entry {
     MonotonicTime deadline;
     SubqueryId id = 0;
@@ -48,37 +53,42 @@
   // @param weights of the classes, by index; not empty, none 0.
   explicit FairQueue(const std::vector<std::uint32_t>& weights);
 
-  // What waits stays; classes beyond the last count as the first.
+  // Queued subqueries stay in the queue. Classes beyond the last count as the
+  // first.
   void SetWeights(const std::vector<std::uint32_t>& weights);
 
   void Insert(SubqueryId id, MonotonicTime deadline, ClassIndex class_index);
-  // False if `id` does not wait here.
+  // @return false if `id` is not queued.
   bool Remove(SubqueryId id);
 
-  // Removes and returns the next to start. Not on an empty queue.
+  // Removes and returns the next subquery to start. The queue must not be
+  // empty. The caller then calls Charge or Forget.
   Entry TakeNext(MonotonicTime now);
-  // What TakeNext returned was started: its class is charged.
+  // Charges the class of a subquery that TakeNext returned and that started.
   // @param slot_time expected time of one subquery divided by the slots.
   void Charge(SubqueryId id, Duration slot_time, MonotonicTime now);
-  // ... or refused.
+  // The caller refused the subquery that TakeNext returned: its class is not
+  // charged.
   void Forget(SubqueryId id) { taken_.erase(id); }
 
-  // What gives way when the queue is full: the longest remaining time of the
-  // class with most waiting for its weight. Not on an empty queue.
+  // The subquery to shed when the queue is full: the one with the longest
+  // remaining time in the class with the most queued subqueries relative to its
+  // weight. The queue must not be empty.
   Entry LastOfLongest() const;
-  // The one with the shortest remaining time of all. Not on an empty queue.
+  // The queued subquery with the earliest deadline. The queue must not be
+  // empty.
   Entry Earliest() const;
 
-  // Waiting entries of one class and its share of the slots among the classes
-  // that have work waiting.
+  // Queued subqueries of one class, and the share of the slots that the class
+  // has among the classes with queued subqueries.
   struct Backlog {
     const Entries* entries = nullptr;
     double share = 1;
   };
   std::vector<Backlog> Backlogs() const;
 
-  std::size_t size() const { return classes_by_id_.size(); }
-  bool empty() const { return classes_by_id_.empty(); }
+  std::size_t size() const { return queued_.size(); }
+  bool empty() const { return queued_.empty(); }
 
  private:
   struct Class {
@@ -87,19 +97,20 @@
     Entries entries;
   };
 
-  ClassIndex Known(ClassIndex class_index) const {
+  ClassIndex ResolveClass(ClassIndex class_index) const {
     return class_index < classes_.size() ? class_index : 0;
   }
 
   std::vector<Class> classes_;
   double total_weight_ = 0;
-  // Class and deadline of what waits.
-  struct Place {
+  // Class and deadline of a queued subquery.
+  struct QueuedSubquery {
     ClassIndex class_index = 0;
     MonotonicTime deadline;
   };
-  std::unordered_map<SubqueryId, Place> classes_by_id_;
-  // Taken and neither charged nor forgotten yet.
+  std::unordered_map<SubqueryId, QueuedSubquery> queued_;
+  // Classes of the subqueries that TakeNext returned and for which neither
+  // Charge nor Forget has been called yet.
   std::unordered_map<SubqueryId, ClassIndex> taken_;
 };
 
--- a/source/common/owner/feasibility.h
+++ b/source/common/owner/feasibility.h
@@ -1,4 +1,5 @@
-// Which waiting subqueries cannot be answered in their remaining time. Pure.
+// Finds queued subqueries that cannot be answered before their deadline. No
+// I/O.
 #pragma once
 
 #include <vector>
@@ -8,16 +9,18 @@
 
 namespace juniperway::owner {
 
+// The gate's estimate of how fast the backend serves the queue.
 struct FeasibilityEstimate {
-  // When the next slot may be used at the earliest.
+  // Earliest time at which the next subquery can start.
   MonotonicTime first_start;
   Duration mean_service_time{0};
   // Slots that all classes share.
   double slots = 1;
 };
 
-// Those of one class that would end after their deadline, with all that wait
-// before them in their class and the class's share of the slots.
+// @return the subqueries of one class that would end after their deadline,
+//   given the class's share of the slots and the feasible subqueries queued
+//   before them in the class.
 std::vector<SubqueryId> InfeasibleOf(const FairQueue::Backlog& backlog,
                                      const FeasibilityEstimate& estimate);
 
--- a/source/common/owner/ownership_tracker.cc
+++ b/source/common/owner/ownership_tracker.cc
@@ -18,12 +18,12 @@
   const resources::Revision before = table_ ? table_->view()->revision : 0;
   const bool skips = leased_ && view->revision != before + 1;
   if (skips && view->revision > in_force_) {
-    skips_.emplace(view->revision, before);
+    skipping_views_.emplace(view->revision, before);
   }
   std::map<std::string, resources::Revision> owned;
   for (const std::string& backend : table->OwnedBy(daemon_id_)) {
-    const auto known = owned_since_.find(backend);
-    if (known == owned_since_.end()) {
+    const auto known = required_release_.find(backend);
+    if (known == required_release_.end()) {
       change.gained.push_back(backend);
       owned[backend] = view->revision;
     } else {
@@ -31,13 +31,13 @@
       owned[backend] = in_use || !skips ? known->second : view->revision;
     }
   }
-  for (const auto& [backend, since] : owned_since_) {
+  for (const auto& [backend, required] : required_release_) {
     if (!owned.contains(backend)) {
       change.lost.push_back(backend);
-      letting_go_.emplace(backend, before);
+      releasing_.emplace(backend, before);
     }
   }
-  owned_since_ = std::move(owned);
+  required_release_ = std::move(owned);
   table_ = std::move(table);
   return change;
 }
@@ -48,44 +48,45 @@
 
 void OwnershipTracker::OnInForce(resources::Revision revision) {
   in_force_ = std::max(in_force_, revision);
-  skips_.erase(skips_.begin(), skips_.upper_bound(in_force_));
+  skipping_views_.erase(skipping_views_.begin(),
+                        skipping_views_.upper_bound(in_force_));
 }
 
 void OwnershipTracker::OnLetGo(const std::string& backend) {
-  letting_go_.erase(backend);
+  releasing_.erase(backend);
 }
 
 void OwnershipTracker::OnLeaseLost() {
   leased_ = false;
-  letting_go_.clear();
-  skips_.clear();
+  releasing_.clear();
+  skipping_views_.clear();
 }
 
 void OwnershipTracker::OnLeaseGained() {
   leased_ = true;
   const resources::Revision revision = table_ ? table_->view()->revision : 0;
-  for (auto& [backend, since] : owned_since_) {
-    since = revision;
+  for (auto& [backend, required] : required_release_) {
+    required = revision;
   }
 }
 
 GateAccess OwnershipTracker::AccessTo(const std::string& backend) const {
-  const auto owned = owned_since_.find(backend);
-  if (!leased_ || owned == owned_since_.end()) {
+  const auto owned = required_release_.find(backend);
+  if (!leased_ || owned == required_release_.end()) {
     return GateAccess::kClosed;
   }
   const bool usable =
-      zone_released_ >= owned->second && !letting_go_.contains(backend);
+      zone_released_ >= owned->second && !releasing_.contains(backend);
   return usable ? GateAccess::kOpen : GateAccess::kWaiting;
 }
 
 resources::Revision OwnershipTracker::released() const {
   resources::Revision released = table_ ? table_->view()->revision : 0;
-  for (const auto& [backend, revision] : letting_go_) {
+  for (const auto& [backend, revision] : releasing_) {
     released = std::min(released, revision);
   }
-  if (!skips_.empty()) {
-    released = std::min(released, skips_.begin()->second);
+  if (!skipping_views_.empty()) {
+    released = std::min(released, skipping_views_.begin()->second);
   }
   return released;
 }
--- a/source/common/owner/ownership_tracker.h
+++ b/source/common/owner/ownership_tracker.h
@@ -1,19 +1,19 @@
-// Which back ends this daemon owns, which of them it may use yet, and up to
-// which revision it has let go of all others. Pure. The rules and what was
-// weighed: docs/design/ownership.md.
+// Tracks which backends this daemon owns, which of them it may use already, and
+// up to which revision it has released all others. No I/O. Rules and design
+// choices: docs/design/ownership.md.
 //
-//  - A back end that a view gives to this daemon is used once every gateway of
+//  - This daemon uses a backend that a view assigns to it once every gateway of
 //    the zone has released the revision of that view.
-//  - A back end that a view takes away is let go: nothing new starts, what runs
-//    finishes, its connections are closed. Until then the released revision
-//    stays below that view's.
-//  - Views may skip revisions, and in a skipped one another gateway may have
-//    been the owner and still act on it. So a skipping view's revision counts
-//    as released only once it is in force, when nobody acts on an older view
-//    any more; and a back end that is not in use yet waits for the new view's
-//    revision.
-//  - Ownership does not outlast the lease: at its end all is cut off, and with
-//    the next lease it starts anew at the view of that time.
+//  - This daemon releases a backend that a view takes away: it starts no new
+//    search, running searches finish, and it closes the connections. Until then
+//    the released revision stays below the revision of that view.
+//  - Views may skip revisions. In a skipped revision another gateway may have
+//    been the owner and may still act on that revision. Therefore the revision
+//    of a skipping view counts as released only once it is in force, when no
+//    gateway acts on an older view any more. A backend that is not in use yet
+//    then waits for the release of the new view's revision.
+//  - Ownership ends with the lease: the owner closes all connections. With the
+//    next lease, ownership starts again from the view of that time.
 #pragma once
 
 #include <map>
@@ -27,17 +27,20 @@
 
 namespace juniperway::owner {
 
+// Ownership state of one daemon; the owner half of a gateway keeps one. Times
+// do not matter here, only revisions.
 class OwnershipTracker {
  public:
   explicit OwnershipTracker(std::string daemon_id);
 
-  // What a new view changed.
+  // Backends whose owner a new view changed.
   struct Change {
     std::vector<std::string> gained;
-    // To be let go: call OnLetGo for each once nothing of it is left.
+    // The daemon must release these: it calls OnLetGo for each once no search
+    // runs there and the connections are closed.
     std::vector<std::string> lost;
   };
-  // Older views than the newest seen are ignored.
+  // Ignores views that are not newer than the newest one seen.
   Change OnView(const session::FleetViewPointer& view);
 
   // ControlSession::ZoneReleasedRevision grew.
@@ -46,20 +49,20 @@
   // ControlSession::InForceRevision grew.
   void OnInForce(resources::Revision revision);
 
-  // Nothing runs at `backend` any more and its connections are closed.
+  // No search runs at `backend` any more and its connections are closed.
   void OnLetGo(const std::string& backend);
 
-  // The lease ended, everything has been cut off and every connection closed.
+  // The lease ended, and the owner has closed every connection.
   void OnLeaseLost();
   void OnLeaseGained();
 
   bool Owns(const std::string& backend) const {
-    return owned_since_.contains(backend);
+    return required_release_.contains(backend);
   }
 
   GateAccess AccessTo(const std::string& backend) const;
 
-  // What to report as released; never falls.
+  // The revision to report as released. It never decreases.
   resources::Revision released() const;
 
  private:
@@ -68,13 +71,15 @@
   resources::Revision zone_released_ = 0;
   resources::Revision in_force_ = 0;
   bool leased_ = false;
-  // Owned back ends, and the revision that must be released before use.
-  std::map<std::string, resources::Revision> owned_since_;
-  // Back ends being let go, and the last revision that was no reason to.
-  std::map<std::string, resources::Revision> letting_go_;
-  // Revisions of skipping views that are not in force yet, and the revision of
-  // the view before each.
-  std::map<resources::Revision, resources::Revision> skips_;
+  // Owned backends; for each the revision that the zone must release before
+  // this daemon uses the backend.
+  std::map<std::string, resources::Revision> required_release_;
+  // Backends being released; for each the revision of the last view before the
+  // one that took the backend away.
+  std::map<std::string, resources::Revision> releasing_;
+  // Revisions of skipping views that are not in force yet; for each the
+  // revision of the view before.
+  std::map<resources::Revision, resources::Revision> skipping_views_;
 };
 
 }  // namespace juniperway::owner
--- a/source/common/owner/service_time.cc
+++ b/source/common/owner/service_time.cc
@@ -3,8 +3,8 @@
 namespace juniperway::owner {
 namespace {
 
-// Weight of one observation is 1 / kSmoothing.
-constexpr int kSmoothing = 8;
+// One observation has the weight 1 / kInverseObservationWeight in the mean.
+constexpr int kInverseObservationWeight = 8;
 
 }  // namespace
 
@@ -13,7 +13,7 @@
     mean_ = elapsed;
     return;
   }
-  mean_ += (elapsed - mean_) / kSmoothing;
+  mean_ += (elapsed - mean_) / kInverseObservationWeight;
 }
 
 void ServiceTimeEstimate::ObserveAtLeast(Duration elapsed) {
--- a/source/common/owner/service_time.h
+++ b/source/common/owner/service_time.h
@@ -1,19 +1,20 @@
-// What the owner has learned about how long a back end takes for a subquery.
+// Estimates how long a backend takes for a subquery. No I/O.
 #pragma once
 
 #include "common/base/time.h"
 
 namespace juniperway::owner {
 
-// Exponentially weighted mean of observed service times. Zero until the first
-// observation: nothing is refused on a guess.
+// Exponentially weighted mean of the observed service times of one backend,
+// owned by its BackendGate. The mean is zero until the first observation, so
+// that the gate refuses no subquery without an observation.
 class ServiceTimeEstimate {
  public:
-  // A subquery that was answered after `elapsed`.
+  // The backend answered a subquery after `elapsed`.
   void Observe(Duration elapsed);
 
-  // A subquery given up after `elapsed`: its service time is at least that, so
-  // it only ever raises the estimate.
+  // A subquery was abandoned after `elapsed`. Its service time is at least
+  // `elapsed`, so this call can only raise the mean.
   void ObserveAtLeast(Duration elapsed);
 
   Duration mean() const { return mean_; }
--- a/test/property/owner/chances.h
+++ b/test/property/owner/chances.h
@@ -1,4 +1,4 @@
-// The seeded randomness of the simulated zone.
+// Seeded source of random values for the simulated zone.
 #pragma once
 
 #include <cstdint>
@@ -8,11 +8,11 @@
 
 namespace juniperway::owner::testing {
 
-class Chances {
+class RandomSource {
  public:
-  explicit Chances(std::uint64_t seed) : random_(seed) {}
+  explicit RandomSource(std::uint64_t seed) : random_(seed) {}
 
-  // Both ends are possible.
+  // Uniform, both ends included.
   std::int64_t Between(std::int64_t low, std::int64_t high) {
     return std::uniform_int_distribution<std::int64_t>(low, high)(random_);
   }
--- a/test/property/owner/owner_history.cc
+++ b/test/property/owner/owner_history.cc
@@ -76,7 +76,7 @@
   }
 
  private:
-  using Place = std::pair<std::string, std::string>;  // owner, back end
+  using QueueKey = std::pair<std::string, std::string>;  // owner, backend
 
   struct Subquery {
     MonotonicTime deadline;
@@ -113,7 +113,7 @@
       ++report_.starts_with_all_slots_taken;
     }
     if (!backend.last_owner.empty() && backend.last_owner != event.owner) {
-      ++report_.starts_after_hand_over;
+      ++report_.starts_after_owner_change;
     }
     backend.last_owner = event.owner;
     CheckConnections(event);
@@ -123,12 +123,13 @@
     if (event.at >= subquery.deadline) {
       Violation("subquery {} started after its deadline", event.id);
     }
-    LeaveQueue(event, subquery);
+    RemoveFromQueue(event, subquery);
     CheckOrder(event, subquery);
   }
 
-  // A subquery with less time left may be refused in the same moment, so the
-  // verdict is left to its end: it must not start or wait any longer.
+  // Notes the queued subqueries with less remaining time than the started one.
+  // The gate may refuse them at the same time, so CheckPassedOver decides when
+  // they leave the queue: they must neither start nor stay queued any longer.
   void CheckOrder(const Event& event, const Subquery& subquery) {
     for (const auto& [deadline, id] : waiting_[{event.owner, event.backend}]) {
       if (deadline >= subquery.deadline) {
@@ -162,10 +163,10 @@
       Violation("subquery {} was started but its result says not run",
                 event.id);
     }
-    LeaveQueue(event, subquery);
+    RemoveFromQueue(event, subquery);
   }
 
-  void LeaveQueue(const Event& event, const Subquery& subquery) {
+  void RemoveFromQueue(const Event& event, const Subquery& subquery) {
     waiting_[{event.owner, event.backend}].erase({subquery.deadline, event.id});
     CheckPassedOver(event);
   }
@@ -182,8 +183,9 @@
   HistoryReport report_;
   std::map<std::uint64_t, Subquery> subqueries_;
   std::map<std::string, BackendState> backends_;
-  std::set<Place> draining_;
-  std::map<Place, std::set<std::pair<MonotonicTime, std::uint64_t>>> waiting_;
+  std::set<QueueKey> draining_;
+  std::map<QueueKey, std::set<std::pair<MonotonicTime, std::uint64_t>>>
+      waiting_;
   std::map<std::uint64_t, MonotonicTime> passed_over_;
 };
 
--- a/test/property/owner/owner_history.h
+++ b/test/property/owner/owner_history.h
@@ -1,6 +1,6 @@
-// What happened at the owners and back ends of a simulated zone, and a checker
-// of the owner tier's promises over it. The checker knows nothing of the code
-// under test.
+// Event history of the owners and backends of a simulated zone, and a checker
+// for the guarantees of the owner tier. The checker does not use the code under
+// test.
 #pragma once
 
 #include <cstdint>
@@ -14,25 +14,26 @@
 namespace juniperway::owner::testing {
 
 enum class EventKind {
-  kSubmit,      // An owner was given a subquery.
-  kStart,       // It was sent to the back end: takes a slot, a connection.
-  kEnd,         // The back end answered it or its connection was closed.
-  kResult,      // The front got its outcome.
+  kSubmit,      // An owner got a subquery.
+  kStart,       // The owner sent the search: takes a slot and a connection.
+  kEnd,         // The backend answered, or the connection was closed.
+  kResult,      // The front got the outcome.
   kCallBegin,   // A cancel or a probe took a connection.
-  kCallEnd,     // ... and gave it back.
-  kDrainKnown,  // The owner learned that the back end drains.
-  kDrainEnded,
+  kCallEnd,     // A cancel or a probe released its connection.
+  kDrainKnown,  // A view told the owner that the backend drains.
+  kDrainEnded,  // A view told the owner that the drain ended.
 };
 
+// One event of a subquery, cancel, probe or drain at one owner and backend.
 struct Event {
   EventKind kind = EventKind::kSubmit;
   MonotonicTime at;
   std::string owner;
   std::string backend;
   std::uint64_t id = 0;
-  // kSubmit.
+  // For kSubmit only.
   MonotonicTime deadline;
-  // kResult.
+  // For kResult only.
   protocol::SubqueryOutcome outcome = protocol::SubqueryOutcome::kShed;
 };
 
@@ -43,21 +44,24 @@
   std::uint32_t connections = 0;
 };
 
+// Result of CheckHistory.
 struct HistoryReport {
-  // Each broken promise, once an occurrence.
+  // One text for each violation of a guarantee.
   std::vector<std::string> violations;
   std::uint64_t starts = 0;
   std::uint64_t results = 0;
-  // Starts by the owner that came second, third, ... at some back end.
-  std::uint64_t starts_after_hand_over = 0;
+  // Starts by another owner than the last one at the same backend.
+  std::uint64_t starts_after_owner_change = 0;
   std::uint64_t starts_with_all_slots_taken = 0;
   std::map<protocol::SubqueryOutcome, std::uint64_t> outcomes;
 };
 
-// Checks: slots and connections are never exceeded, over all owners together;
-// no start after a drain is known, at or after the deadline, or before a
-// subquery that waits with less time left; exactly one result a subquery; a
-// result that says not run only for what was never started.
+// Checks that
+//  - all owners together never exceed a backend's slots and connections;
+//  - no search starts after its owner knows of a drain, at or after the
+//    deadline, or while one with less remaining time stays queued;
+//  - each subquery has exactly one result;
+//  - only a search that never started has a result that says not run.
 HistoryReport CheckHistory(const History& history,
                            const std::map<std::string, BackendLimits>& limits);
 
--- a/test/property/owner/owner_property_test.cc
+++ b/test/property/owner/owner_property_test.cc
@@ -1,5 +1,5 @@
-// The owner tier's promises over seeded histories of a whole zone, and the
-// checker's own test: planted defects must be caught.
+// Checks the guarantees of the owner tier over seeded histories of a whole
+// zone. Planted defects show that the checker detects violations.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -15,7 +15,7 @@
 
 constexpr std::uint64_t kSeeds = 60;
 
-std::string FirstOf(const HistoryReport& report) {
+std::string FirstViolation(const HistoryReport& report) {
   return report.violations.empty() ? "" : report.violations.front();
 }
 
@@ -28,9 +28,9 @@
     const WorldResult world = RunWorld({.seed = seed});
     const HistoryReport report = CheckHistory(world.history, world.limits);
     CAPTURE(seed);
-    CHECK(FirstOf(report) == "");
+    CHECK(FirstViolation(report) == "");
     total.starts += report.starts;
-    total.starts_after_hand_over += report.starts_after_hand_over;
+    total.starts_after_owner_change += report.starts_after_owner_change;
     total.starts_with_all_slots_taken += report.starts_with_all_slots_taken;
     for (const auto& [outcome, count] : report.outcomes) {
       total.outcomes[outcome] += count;
@@ -39,9 +39,9 @@
     lost_leases += world.lost_leases;
     skipped_views += world.skipped_views;
   }
-  // The runs met what they are meant to provoke.
+  // The runs contain the situations that they are meant to provoke.
   CHECK(total.starts > kSeeds * 1500);
-  CHECK(total.starts_after_hand_over > kSeeds * 3);
+  CHECK(total.starts_after_owner_change > kSeeds * 3);
   CHECK(total.starts_with_all_slots_taken > kSeeds * 100);
   CHECK(changes > kSeeds * 10);
   CHECK(lost_leases > kSeeds / 4);
@@ -54,13 +54,14 @@
     CAPTURE(protocol::EnumNameSubqueryOutcome(outcome));
     CHECK(total.outcomes[outcome] > 0);
   }
-  MESSAGE("starts " << total.starts << ", after hand-over "
-                    << total.starts_after_hand_over << ", lost leases "
+  MESSAGE("starts " << total.starts << ", after owner change "
+                    << total.starts_after_owner_change << ", lost leases "
                     << lost_leases << ", skipped views " << skipped_views);
 }
 
-// True if some seed's history breaks the promise that `broken` names.
-bool Caught(PlantedDefect defect, const std::string& broken) {
+// True if the history of some seed has a violation whose text contains
+// `broken`.
+bool Detects(PlantedDefect defect, const std::string& broken) {
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     const WorldResult world = RunWorld({.seed = seed, .defect = defect});
     const HistoryReport report = CheckHistory(world.history, world.limits);
@@ -73,19 +74,19 @@
   return false;
 }
 
-TEST_CASE("Without each rule, some seed breaks the promise it keeps") {
+TEST_CASE("Without a rule, some seed violates the guarantee of that rule") {
   const std::string slots = "running of";
   const std::string connections = "connections at";
-  CHECK(Caught(PlantedDefect::kIgnoreWatermark, slots));
-  CHECK(Caught(PlantedDefect::kIgnoreWatermark, connections));
-  CHECK(Caught(PlantedDefect::kReleaseEarly, slots));
-  CHECK(Caught(PlantedDefect::kReleaseSkippedViews, slots));
-  CHECK(Caught(PlantedDefect::kFreeSlotOnCancel, slots));
-  CHECK(Caught(PlantedDefect::kKeepRunningWithoutLease, slots));
-  CHECK(Caught(PlantedDefect::kIgnoreDrain, "started on draining"));
+  CHECK(Detects(PlantedDefect::kIgnoreWatermark, slots));
+  CHECK(Detects(PlantedDefect::kIgnoreWatermark, connections));
+  CHECK(Detects(PlantedDefect::kReleaseEarly, slots));
+  CHECK(Detects(PlantedDefect::kReleaseSkippedViews, slots));
+  CHECK(Detects(PlantedDefect::kFreeSlotOnCancel, slots));
+  CHECK(Detects(PlantedDefect::kKeepRunningWithoutLease, slots));
+  CHECK(Detects(PlantedDefect::kIgnoreDrain, "started on draining"));
 }
 
-TEST_CASE("The checker sees defects planted in a history") {
+TEST_CASE("The checker detects defects planted in a history") {
   const WorldResult world = RunWorld({.seed = 1});
   const auto violations = [&world](const History& history) {
     return CheckHistory(history, world.limits).violations.size();
@@ -103,7 +104,7 @@
   }
   SUBCASE("an end that never came") {
     history.erase(first(history, EventKind::kEnd));
-    // Its slot stays taken: the others soon take the rest.
+    // The slot stays in use, so later searches exceed the remaining slots.
   }
   SUBCASE("a start after its deadline") {
     const auto start = first(history, EventKind::kStart);
@@ -118,7 +119,7 @@
     drain.kind = EventKind::kDrainKnown;
     history.insert(first(history, EventKind::kStart), drain);
   }
-  SUBCASE("a search that ran called not run") {
+  SUBCASE("a search that ran with a result that says not run") {
     const auto rows = std::ranges::find_if(history, [](const Event& event) {
       return event.kind == EventKind::kResult &&
              event.outcome == SubqueryOutcome::kRows;
@@ -128,7 +129,7 @@
   CHECK(violations(history) > 0);
 }
 
-TEST_CASE("The checker sees a longer one start before a shorter one") {
+TEST_CASE("The checker detects a start out of deadline order") {
   const MonotonicTime start;
   const auto event = [&start](EventKind kind, std::uint64_t id, int at_ms) {
     return Event{kind,
--- a/test/property/owner/owner_world.cc
+++ b/test/property/owner/owner_world.cc
@@ -13,41 +13,42 @@
 namespace juniperway::owner::testing {
 namespace {
 
-constexpr Duration kHeartbeat = milliseconds(50);
-constexpr Duration kControlTick = milliseconds(2);
-// Until whatever is open has its result: the longest deadline and more.
-constexpr Duration kSettle = seconds(4);
+constexpr Duration kHeartbeatInterval = milliseconds(50);
+constexpr Duration kControlInterval = milliseconds(2);
+// Time in which all open subqueries get their result; more than the longest
+// deadline (3 s).
+constexpr Duration kSettleTime = seconds(4);
 
 class World {
  public:
   explicit World(const WorldOptions& options)
-      : options_(options), chances_(options.seed) {}
+      : options_(options), random_(options.seed) {}
 
   WorldResult Run();
 
  private:
   void DeclareBackends();
   void AddOwners();
-  // What the control leader does by itself.
+  // Periodic work of the control leader.
   void ControlTick();
   void ChangeSomething();
-  void TakeMemberAway(const std::string& name);
+  void RemoveMember(const std::string& name);
   void DrainBackend(const std::string& name);
-  // What one owner does by itself.
+  // Periodic work of one owner.
   void OwnerTick(ZoneOwner& owner);
   void SendHeartbeat(ZoneOwner& owner);
   void FetchView(ZoneOwner& owner);
   void Arrive();
-  std::string SomeOwnerOf(const std::string& backend);
-  std::string AnyOwner() {
-    return "g" + std::to_string(chances_.Between(1, options_.owners));
+  std::string DrawOwnerOf(const std::string& backend);
+  std::string DrawOwner() {
+    return "g" + std::to_string(random_.Between(1, options_.owners));
   }
-  std::string AnyBackend() {
-    return "b" + std::to_string(chances_.Between(1, options_.backends));
+  std::string DrawBackend() {
+    return "b" + std::to_string(random_.Between(1, options_.backends));
   }
 
   WorldOptions options_;
-  Chances chances_;
+  RandomSource random_;
   sim::Timeline timeline_;
   WorldResult result_;
   ZoneControl control_;
@@ -58,25 +59,25 @@
 
 void World::ControlTick() {
   control_.Tick(timeline_.now());
-  timeline_.After(kControlTick, [this] { ControlTick(); });
+  timeline_.After(kControlInterval, [this] { ControlTick(); });
 }
 
-// Each change is undone after a while: were it a toggle, half of the members
-// would be leaving and half of the back ends drained at any time, and little
-// would ever run.
+// Each change is reverted after a while. If changes toggled the state, half of
+// the members would be leaving and half of the backends draining at any time,
+// and few searches would run.
 void World::ChangeSomething() {
-  if (chances_.Percent(70)) {
-    TakeMemberAway(AnyOwner());
+  if (random_.Percent(70)) {
+    RemoveMember(DrawOwner());
   } else {
-    DrainBackend(AnyBackend());
+    DrainBackend(DrawBackend());
   }
-  // Often more than one change at a time, so that views get skipped.
+  // Often several changes within 3 ms, so that owners skip views.
   timeline_.After(
-      chances_.Percent(40) ? chances_.Delay(0, 3) : chances_.Delay(40, 600),
+      random_.Percent(40) ? random_.Delay(0, 3) : random_.Delay(40, 600),
       [this] { ChangeSomething(); });
 }
 
-void World::TakeMemberAway(const std::string& name) {
+void World::RemoveMember(const std::string& name) {
   const auto set = [this, name](bool leaving) {
     const auto member = control_.newest().members.find(name);
     if (member == control_.newest().members.end() ||
@@ -88,7 +89,7 @@
     });
   };
   set(true);
-  timeline_.After(chances_.Delay(20, 400), [set] { set(false); });
+  timeline_.After(random_.Delay(20, 400), [set] { set(false); });
 }
 
 void World::DrainBackend(const std::string& name) {
@@ -97,36 +98,36 @@
         [&](session::FleetView& view) { view.backends[name].drain = drain; });
   };
   set(true);
-  timeline_.After(chances_.Delay(20, 400), [set] { set(false); });
+  timeline_.After(random_.Delay(20, 400), [set] { set(false); });
 }
 
 void World::OwnerTick(ZoneOwner& owner) {
   owner.CheckLease();
   SendHeartbeat(owner);
-  if (chances_.Percent(1)) {
-    owner.CutOffUntil(timeline_.now() + chances_.Delay(50, 1500));
+  if (random_.Percent(1)) {
+    owner.PartitionUntil(timeline_.now() + random_.Delay(50, 1500));
   }
-  timeline_.After(kHeartbeat, [this, &owner] { OwnerTick(owner); });
+  timeline_.After(kHeartbeatInterval, [this, &owner] { OwnerTick(owner); });
 }
 
 void World::SendHeartbeat(ZoneOwner& owner) {
   if (!owner.reachable()) {
     return;
   }
-  timeline_.After(chances_.Delay(0, 5), [this, &owner, sent = timeline_.now(),
-                                         heartbeat = owner.MakeHeartbeat()] {
+  timeline_.After(random_.Delay(0, 5), [this, &owner, sent = timeline_.now(),
+                                        heartbeat = owner.MakeHeartbeat()] {
     if (!owner.reachable() ||
         !control_.OnHeartbeat(heartbeat, timeline_.now())) {
       return;
     }
-    timeline_.After(chances_.Delay(0, 5), [&owner, sent] {
+    timeline_.After(random_.Delay(0, 5), [&owner, sent] {
       if (owner.reachable()) {
         owner.TakeLease(sent);
       }
     });
   });
-  // The watermarks as of the answer.
-  timeline_.After(chances_.Delay(5, 10), [this, &owner] {
+  // Delivers the watermarks of the time at which the answer arrives.
+  timeline_.After(random_.Delay(5, 10), [this, &owner] {
     if (owner.reachable()) {
       owner.TakeWatermarks(control_.in_force(), control_.zone_released());
     }
@@ -136,12 +137,12 @@
 void World::FetchView(ZoneOwner& owner) {
   const resources::Revision newest = control_.newest().revision;
   if (owner.seen() < newest && owner.reachable()) {
-    // Mostly the newest, sometimes the next one.
-    const auto next = chances_.Percent(40) ? owner.seen() + 1 : newest;
+    // Fetches mostly the newest view, sometimes the next one.
+    const auto next = random_.Percent(40) ? owner.seen() + 1 : newest;
     if (next != owner.seen() + 1) {
       ++result_.skipped_views;
     }
-    timeline_.After(chances_.Delay(0, 20),
+    timeline_.After(random_.Delay(0, 20),
                     [this, &owner, view = control_.view(next)] {
                       if (owner.reachable()) {
                         owner.TakeView(view);
@@ -149,31 +150,31 @@
                       }
                     });
   }
-  timeline_.After(chances_.Delay(1, 60), [this, &owner] { FetchView(owner); });
+  timeline_.After(random_.Delay(1, 60), [this, &owner] { FetchView(owner); });
 }
 
-// Mostly the owner by the newest view, sometimes whoever.
-std::string World::SomeOwnerOf(const std::string& backend) {
+// Mostly the owner according to the newest view, sometimes any owner.
+std::string World::DrawOwnerOf(const std::string& backend) {
   const auto* member = routing::OwnerOf(backend, kZone, control_.newest());
-  return member != nullptr && chances_.Percent(80) ? member->daemon_id
-                                                   : AnyOwner();
+  return member != nullptr && random_.Percent(80) ? member->daemon_id
+                                                  : DrawOwner();
 }
 
 void World::Arrive() {
   if (!accepting_) {
     return;
   }
-  const std::string backend = AnyBackend();
-  ZoneOwner& owner = *owners_.at(SomeOwnerOf(backend));
+  const std::string backend = DrawBackend();
+  ZoneOwner& owner = *owners_.at(DrawOwnerOf(backend));
   const SubqueryId id = next_id_++;
-  const int longest_ms = chances_.Percent(5) ? 3000 : 120;
-  owner.Submit(backend, id, timeline_.now() + chances_.Delay(0, longest_ms));
-  if (chances_.Percent(15)) {
-    timeline_.After(chances_.Delay(0, 60),
+  const int maximum_ms = random_.Percent(5) ? 3000 : 120;
+  owner.Submit(backend, id, timeline_.now() + random_.Delay(0, maximum_ms));
+  if (random_.Percent(15)) {
+    timeline_.After(random_.Delay(0, 60),
                     [&owner, backend, id] { owner.Cancel(backend, id); });
   }
   const std::int64_t mean_gap_us = 1'000'000 / options_.arrivals;
-  timeline_.After(Duration(chances_.Between(0, 2 * mean_gap_us)),
+  timeline_.After(Duration(random_.Between(0, 2 * mean_gap_us)),
                   [this] { Arrive(); });
 }
 
@@ -182,10 +183,10 @@
     for (int i = 1; i <= options_.backends; ++i) {
       resources::Backend& backend = view.backends["b" + std::to_string(i)];
       backend.zone = kZone;
-      backend.slots = static_cast<std::uint32_t>(chances_.Between(1, 4));
+      backend.slots = static_cast<std::uint32_t>(random_.Between(1, 4));
       backend.maximum_connections =
-          backend.slots + static_cast<std::uint32_t>(chances_.Between(0, 3));
-      backend.slow_start = chances_.Delay(0, 100);
+          backend.slots + static_cast<std::uint32_t>(random_.Between(0, 3));
+      backend.slow_start = random_.Delay(0, 100);
     }
   });
   for (const auto& [name, backend] : control_.newest().backends) {
@@ -194,15 +195,14 @@
 }
 
 void World::AddOwners() {
-  const ZoneSurroundings surroundings{timeline_, chances_, result_,
-                                      options_.defect};
+  const ZoneContext context{timeline_, random_, result_, options_.defect};
   for (int i = 1; i <= options_.owners; ++i) {
     const std::string name = "g" + std::to_string(i);
     owners_[name] =
-        std::make_unique<ZoneOwner>(name, control_.newest(), surroundings);
+        std::make_unique<ZoneOwner>(name, control_.newest(), context);
   }
   for (auto& [name, owner] : owners_) {
-    timeline_.After(chances_.Delay(0, 20), [this, &owner = *owner] {
+    timeline_.After(random_.Delay(0, 20), [this, &owner = *owner] {
       FetchView(owner);
       OwnerTick(owner);
     });
@@ -218,7 +218,7 @@
   const MonotonicTime end = MonotonicTime(options_.length);
   timeline_.RunUntil(end);
   accepting_ = false;
-  timeline_.RunUntil(end + kSettle);
+  timeline_.RunUntil(end + kSettleTime);
   return std::move(result_);
 }
 
--- a/test/property/owner/owner_world.h
+++ b/test/property/owner/owner_world.h
@@ -1,7 +1,7 @@
-// A zone with several owners, some back ends and a control leader, under
-// virtual time: drives OwnershipTracker and BackendGate through arrivals,
-// cancels, losses, lost leases and changes of ownership, and writes down what
-// happened. Seeded: the same options give the same history.
+// Simulates a zone with several owners, some backends and a control leader
+// under virtual time. Drives OwnershipTracker and BackendGate through arrivals,
+// cancels, lost messages, lost leases and ownership changes, and records the
+// events. The same options give the same history.
 #pragma once
 
 #include <cstdint>
@@ -12,33 +12,35 @@
 
 namespace juniperway::owner::testing {
 
-// Ways to break a rule, to show that the checker sees it.
+// Violations of a rule that the checker must detect.
 enum class PlantedDefect {
   kNone,
-  // A new owner does not wait for the zone to release.
+  // A new owner does not wait until the zone has released the revision.
   kIgnoreWatermark,
-  // Released is reported although searches still run.
+  // An owner reports a revision as released while searches still run.
   kReleaseEarly,
-  // Released is reported for a skipping view before it is in force.
+  // An owner reports a skipping view as released before it is in force.
   kReleaseSkippedViews,
-  // A cancelled search counts as ended before the back end said so.
+  // A cancelled search counts as ended before the backend has answered.
   kFreeSlotOnCancel,
-  // At the end of the lease, what runs is left running.
+  // An owner keeps searches running after the end of its lease.
   kKeepRunningWithoutLease,
-  // Drains are not passed on to the gate.
+  // An owner does not pass drains on to the gate.
   kIgnoreDrain,
 };
 
+// Options of one simulation.
 struct WorldOptions {
   std::uint64_t seed = 1;
   int owners = 3;
   int backends = 3;
   Duration length = seconds(8);
-  // Subqueries a second, in all.
+  // Subqueries a second, over all owners.
   int arrivals = 2000;
   PlantedDefect defect = PlantedDefect::kNone;
 };
 
+// Events and statistics of one simulation.
 struct WorldResult {
   History history;
   std::map<std::string, BackendLimits> limits;
--- a/test/property/owner/zone_control.h
+++ b/test/property/owner/zone_control.h
@@ -1,5 +1,5 @@
 // The control leader of a simulated zone: publishes views, grants leases and
-// works out the watermarks. Time is an argument.
+// computes the watermarks. Time is an argument.
 #pragma once
 
 #include <functional>
@@ -14,26 +14,29 @@
 namespace juniperway::owner::testing {
 
 inline constexpr Duration kLease = milliseconds(400);
-// The simulated zone's name.
+// Name of the simulated zone.
 inline const std::string kZone = "z";
 
+// Heartbeat of an owner to the control leader.
 struct Heartbeat {
   std::string owner;
   resources::Revision confirmed = 0;
   resources::Revision released = 0;
-  // The sender has a lease by its own clock.
+  // The owner has a lease according to its own clock.
   bool holds_lease = false;
 };
 
+// The control leader. The simulation owns one.
 class ZoneControl {
  public:
-  // Makes the next view out of the newest one.
+  // Makes the next view by applying `change` to a copy of the newest one.
   void Publish(const std::function<void(session::FleetView&)>& change);
 
   // @return whether the sender's lease was granted or renewed.
   bool OnHeartbeat(const Heartbeat& heartbeat, MonotonicTime now);
 
-  // Ends leases, removes members that stayed without one, moves watermarks.
+  // Ends expired leases, removes members that have had no lease for some time,
+  // and advances the watermarks.
   void Tick(MonotonicTime now);
 
   const session::FleetView& newest() const { return *views_.back(); }
@@ -45,7 +48,7 @@
   resources::Revision zone_released() const { return zone_released_; }
 
  private:
-  // What is known of one owner.
+  // State of one owner at the leader.
   struct Record {
     std::optional<MonotonicTime> lease_end;
     MonotonicTime unleased_since;
--- a/test/property/owner/zone_owner.cc
+++ b/test/property/owner/zone_owner.cc
@@ -15,29 +15,30 @@
 }  // namespace
 
 ZoneOwner::ZoneOwner(std::string name, const session::FleetView& view,
-                     ZoneSurroundings surroundings)
+                     ZoneContext context)
     : name_(std::move(name)),
-      timeline_(surroundings.timeline),
-      chances_(surroundings.chances),
-      result_(surroundings.result),
-      defect_(surroundings.defect),
+      timeline_(context.timeline),
+      random_(context.random),
+      result_(context.result),
+      defect_(context.defect),
       tracker_(name_) {
   for (const auto& [backend, resource] : view.backends) {
     const GateSettings settings{resource.slots, resource.maximum_connections,
                                 kQueueLimit, resource.slow_start};
-    uses_[backend] = std::make_unique<Use>(
-        Use{backend, BackendGate(settings, kProbeInterval, chances_.Seed())});
+    backends_[backend] = std::make_unique<BackendState>(BackendState{
+        backend, BackendGate(settings, kProbeInterval, random_.Seed())});
   }
 }
 
-void ZoneOwner::Note(EventKind kind, const Use& use, SubqueryId id) {
+void ZoneOwner::Record(EventKind kind, const BackendState& state,
+                       SubqueryId id) {
   result_.history.push_back(
-      {kind, timeline_.now(), name_, use.backend, id, {}, {}});
+      {kind, timeline_.now(), name_, state.backend, id, {}, {}});
 }
 
-void ZoneOwner::NoteResult(const Use& use, SubqueryId id,
-                           SubqueryOutcome outcome) {
-  Note(EventKind::kResult, use, id);
+void ZoneOwner::RecordResult(const BackendState& state, SubqueryId id,
+                             SubqueryOutcome outcome) {
+  Record(EventKind::kResult, state, id);
   result_.history.back().outcome = outcome;
 }
 
@@ -58,20 +59,20 @@
     tracker_.OnInForce(view->revision);
   }
   result_.ownership_changes += change.gained.size();
-  for (auto& [backend, use] : uses_) {
-    TakeDrain(*use, view->backends.at(backend).drain);
+  for (auto& [backend, state] : backends_) {
+    TakeDrain(*state, view->backends.at(backend).drain);
   }
   RefreshAccess();
 }
 
-void ZoneOwner::TakeDrain(Use& use, bool drain) {
-  if (drain != use.drain_known) {
-    use.drain_known = drain;
-    Note(drain ? EventKind::kDrainKnown : EventKind::kDrainEnded, use);
+void ZoneOwner::TakeDrain(BackendState& state, bool drain) {
+  if (drain != state.drain_known) {
+    state.drain_known = drain;
+    Record(drain ? EventKind::kDrainKnown : EventKind::kDrainEnded, state);
   }
   if (defect_ != PlantedDefect::kIgnoreDrain) {
-    Perform(use, use.gate.SetDraining(DrainSource::kOperator, drain,
-                                      timeline_.now()));
+    Perform(state, state.gate.SetDraining(DrainSource::kOperator, drain,
+                                          timeline_.now()));
   }
 }
 
@@ -107,30 +108,30 @@
   if (defect_ == PlantedDefect::kKeepRunningWithoutLease) {
     return;
   }
-  for (auto& [backend, use] : uses_) {
-    Perform(*use, use->gate.CutOff(timeline_.now()));
-    ++use->generation;
-    for (; use->calls > 0; --use->calls) {
-      Note(EventKind::kCallEnd, *use);
+  for (auto& [backend, state] : backends_) {
+    Perform(*state, state->gate.CutOff(timeline_.now()));
+    ++state->generation;
+    for (; state->calls > 0; --state->calls) {
+      Record(EventKind::kCallEnd, *state);
     }
   }
 }
 
 void ZoneOwner::RefreshAccess() {
-  for (auto& [backend, use] : uses_) {
+  for (auto& [backend, state] : backends_) {
     GateAccess access = tracker_.AccessTo(backend);
     if (defect_ == PlantedDefect::kIgnoreWatermark &&
         access == GateAccess::kWaiting) {
       access = GateAccess::kOpen;
     }
-    Perform(*use, use->gate.SetAccess(access, timeline_.now()));
+    Perform(*state, state->gate.SetAccess(access, timeline_.now()));
   }
-  NoteLetGo();
+  RecordReleasedBackends();
 }
 
-void ZoneOwner::NoteLetGo() {
-  for (auto& [backend, use] : uses_) {
-    if (use->gate.access() != GateAccess::kOpen && use->gate.idle()) {
+void ZoneOwner::RecordReleasedBackends() {
+  for (auto& [backend, state] : backends_) {
+    if (state->gate.access() != GateAccess::kOpen && state->gate.idle()) {
       tracker_.OnLetGo(backend);
     }
   }
@@ -139,145 +140,145 @@
 void ZoneOwner::Submit(const std::string& backend, SubqueryId id,
                        MonotonicTime deadline) {
   CheckLease();
-  Use& use = *uses_.at(backend);
-  Note(EventKind::kSubmit, use, id);
+  BackendState& state = *backends_.at(backend);
+  Record(EventKind::kSubmit, state, id);
   result_.history.back().deadline = deadline;
-  use.open.insert(id);
-  Perform(use, use.gate.Submit(id, deadline, timeline_.now()));
+  state.open.insert(id);
+  Perform(state, state.gate.Submit(id, deadline, timeline_.now()));
 }
 
 void ZoneOwner::Cancel(const std::string& backend, SubqueryId id) {
   CheckLease();
-  Use& use = *uses_.at(backend);
-  Perform(use, use.gate.Cancel(id, timeline_.now()));
+  BackendState& state = *backends_.at(backend);
+  Perform(state, state.gate.Cancel(id, timeline_.now()));
   if (defect_ == PlantedDefect::kFreeSlotOnCancel) {
-    Perform(use, use.gate.OnReply(id, BackendReply(), timeline_.now()));
+    Perform(state, state.gate.OnReply(id, BackendReply(), timeline_.now()));
   }
 }
 
-void ZoneOwner::Perform(Use& use, const GateActions& actions) {
+void ZoneOwner::Perform(BackendState& state, const GateActions& actions) {
   for (const GateAction& action : actions) {
-    PerformOne(use, action);
+    PerformOne(state, action);
   }
-  ArmTimer(use);
+  ArmTimer(state);
 }
 
-void ZoneOwner::PerformOne(Use& use, const GateAction& action) {
+void ZoneOwner::PerformOne(BackendState& state, const GateAction& action) {
   switch (action.kind) {
     case GateActionKind::kStart:
-      StartSearch(use, action.id);
+      StartSearch(state, action.id);
       return;
     case GateActionKind::kFinish:
-      use.open.erase(action.id);
-      NoteResult(use, action.id, action.outcome);
+      state.open.erase(action.id);
+      RecordResult(state, action.id, action.outcome);
       return;
     case GateActionKind::kSendCancel:
-      SendCall(use, action.id, /*probe=*/false);
+      SendCall(state, action.id, /*probe=*/false);
       return;
     case GateActionKind::kCloseConnection:
-      EndSearch(use, action.id);
+      EndSearch(state, action.id);
       return;
     case GateActionKind::kProbe:
-      SendCall(use, 0, /*probe=*/true);
+      SendCall(state, 0, /*probe=*/true);
       return;
   }
 }
 
-// As the shell does: a timer at the gate's next time.
-void ZoneOwner::ArmTimer(Use& use) {
-  const auto next = use.gate.NextTimer(timeline_.now());
+// Sets a timer to the gate's NextTimer, as the gateway does.
+void ZoneOwner::ArmTimer(BackendState& state) {
+  const auto next = state.gate.NextTimer(timeline_.now());
   if (!next) {
     return;
   }
   const Duration delay = std::max(Duration::zero(), *next - timeline_.now());
-  timeline_.After(delay, [this, &use] {
+  timeline_.After(delay, [this, &state] {
     CheckLease();
-    const auto due = use.gate.NextTimer(timeline_.now());
+    const auto due = state.gate.NextTimer(timeline_.now());
     if (due && *due <= timeline_.now()) {
-      Perform(use, use.gate.OnTimer(timeline_.now()));
-      NoteLetGo();
+      Perform(state, state.gate.OnTimer(timeline_.now()));
+      RecordReleasedBackends();
     }
   });
 }
 
 BackendReply ZoneOwner::RandomReply() {
   BackendReply reply;
-  const std::int64_t dice = chances_.Between(1, 100);
-  if (dice <= 85) {
+  const std::int64_t percentile = random_.Between(1, 100);
+  if (percentile <= 85) {
     reply.kind = ReplyKind::kServed;
     reply.outcome = SubqueryOutcome::kRows;
     reply.answered = true;
-  } else if (dice <= 92) {
+  } else if (percentile <= 92) {
     reply.kind = ReplyKind::kShed;
     reply.outcome = SubqueryOutcome::kShed;
     reply.answered = true;
-  }  // Else broken.
+  }  // Otherwise the reply stays kBroken.
   return reply;
 }
 
-void ZoneOwner::StartSearch(Use& use, SubqueryId id) {
-  Note(EventKind::kStart, use, id);
-  use.running.insert(id);
-  if (chances_.Percent(4)) {
-    return;  // The back end never answers.
+void ZoneOwner::StartSearch(BackendState& state, SubqueryId id) {
+  Record(EventKind::kStart, state, id);
+  state.running.insert(id);
+  if (random_.Percent(4)) {
+    return;  // The backend never answers.
   }
-  const int longest_ms = chances_.Percent(5) ? 300 : 12;
-  timeline_.After(chances_.Delay(1, longest_ms),
-                  [this, &use, id] { OnReply(use, id); });
+  const int maximum_ms = random_.Percent(5) ? 300 : 12;
+  timeline_.After(random_.Delay(1, maximum_ms),
+                  [this, &state, id] { OnReply(state, id); });
 }
 
-void ZoneOwner::OnReply(Use& use, SubqueryId id) {
+void ZoneOwner::OnReply(BackendState& state, SubqueryId id) {
   CheckLease();
-  if (!use.running.contains(id)) {
+  if (!state.running.contains(id)) {
     return;
   }
   const BackendReply reply = RandomReply();
-  EndSearch(use, id);
-  if (use.open.erase(id) > 0) {
-    NoteResult(use, id, reply.outcome);
+  EndSearch(state, id);
+  if (state.open.erase(id) > 0) {
+    RecordResult(state, id, reply.outcome);
   }
-  Perform(use, use.gate.OnReply(id, reply, timeline_.now()));
-  NoteLetGo();
+  Perform(state, state.gate.OnReply(id, reply, timeline_.now()));
+  RecordReleasedBackends();
 }
 
-void ZoneOwner::EndSearch(Use& use, SubqueryId id) {
-  if (use.running.erase(id) > 0) {
-    Note(EventKind::kEnd, use, id);
+void ZoneOwner::EndSearch(BackendState& state, SubqueryId id) {
+  if (state.running.erase(id) > 0) {
+    Record(EventKind::kEnd, state, id);
   }
 }
 
-void ZoneOwner::SendCall(Use& use, SubqueryId id, bool probe) {
-  Note(EventKind::kCallBegin, use, id);
-  ++use.calls;
-  timeline_.After(chances_.Delay(1, 10), [this, &use, id, probe,
-                                          generation = use.generation] {
-    if (generation != use.generation) {
+void ZoneOwner::SendCall(BackendState& state, SubqueryId id, bool probe) {
+  Record(EventKind::kCallBegin, state, id);
+  ++state.calls;
+  timeline_.After(random_.Delay(1, 10), [this, &state, id, probe,
+                                         generation = state.generation] {
+    if (generation != state.generation) {
       return;
     }
-    --use.calls;
-    Note(EventKind::kCallEnd, use, id);
+    --state.calls;
+    Record(EventKind::kCallEnd, state, id);
     CheckLease();
-    if (generation != use.generation) {
+    if (generation != state.generation) {
       return;
     }
     if (probe) {
-      const BackendGate::ProbeResult health{chances_.Percent(2), false};
-      Perform(use, use.gate.OnProbeDone(health, timeline_.now()));
+      const BackendGate::ProbeResult health{random_.Percent(2), false};
+      Perform(state, state.gate.OnProbeDone(health, timeline_.now()));
     } else {
-      OnCancelDone(use, id);
+      OnCancelDone(state, id);
     }
-    NoteLetGo();
+    RecordReleasedBackends();
   });
 }
 
-void ZoneOwner::OnCancelDone(Use& use, SubqueryId id) {
-  Perform(use, use.gate.OnCancelDone(timeline_.now()));
-  if (use.running.contains(id) && chances_.Percent(70)) {
-    EndSearch(use, id);
+void ZoneOwner::OnCancelDone(BackendState& state, SubqueryId id) {
+  Perform(state, state.gate.OnCancelDone(timeline_.now()));
+  if (state.running.contains(id) && random_.Percent(70)) {
+    EndSearch(state, id);
     BackendReply stopped;
     stopped.kind = ReplyKind::kStopped;
     stopped.answered = true;
-    Perform(use, use.gate.OnReply(id, stopped, timeline_.now()));
+    Perform(state, state.gate.OnReply(id, stopped, timeline_.now()));
   }
 }
 
--- a/test/property/owner/zone_owner.h
+++ b/test/property/owner/zone_owner.h
@@ -1,6 +1,6 @@
 // One owner of a simulated zone: runs OwnershipTracker and a BackendGate for
-// each back end as the I/O shell does, plays the back ends' answers, and writes
-// down what happened.
+// each backend as the gateway does, simulates the backends' answers, and
+// records the events.
 #pragma once
 
 #include <cstdint>
@@ -19,79 +19,83 @@
 
 namespace juniperway::owner::testing {
 
-// What all owners of a zone share.
-struct ZoneSurroundings {
+// Objects that all owners of a zone share.
+struct ZoneContext {
   sim::Timeline& timeline;
-  Chances& chances;
+  RandomSource& random;
   WorldResult& result;
   PlantedDefect defect = PlantedDefect::kNone;
 };
 
+// One owner. The simulation owns it; the members of ZoneContext outlive
+// it.
 class ZoneOwner {
  public:
   ZoneOwner(std::string name, const session::FleetView& view,
-            ZoneSurroundings surroundings);
+            ZoneContext context);
 
   Heartbeat MakeHeartbeat();
   void TakeView(const session::FleetViewPointer& view);
-  // The answer to a heartbeat sent at `sent` renewed the lease.
+  // The answer to the heartbeat of time `sent` granted or renewed the lease.
   void TakeLease(MonotonicTime sent);
   void TakeWatermarks(resources::Revision in_force,
                       resources::Revision zone_released);
-  // Notices that the lease began or ended.
+  // Applies the begin or end of the lease.
   void CheckLease();
   void Submit(const std::string& backend, SubqueryId id,
               MonotonicTime deadline);
   void Cancel(const std::string& backend, SubqueryId id);
 
-  // No message gets through in either direction until `end`.
-  void CutOffUntil(MonotonicTime end) { cut_until_ = end; }
-  bool reachable() const { return timeline_.now() >= cut_until_; }
+  // Drops all messages from and to this owner until `end`.
+  void PartitionUntil(MonotonicTime end) { partitioned_until_ = end; }
+  bool reachable() const { return timeline_.now() >= partitioned_until_; }
   resources::Revision seen() const { return view_ ? view_->revision : 0; }
 
  private:
-  // The use of one back end.
-  struct Use {
+  // State of one backend at this owner.
+  struct BackendState {
     std::string backend;
     BackendGate gate;
-    // Searches that the back end has not ended yet.
+    // Searches that the backend has not ended yet.
     std::set<SubqueryId> running = {};
     // Subqueries without a result.
     std::set<SubqueryId> open = {};
-    // Cancels and probes of an earlier life are not answered any more.
+    // Increases when the owner closes all connections. Answers to cancels and
+    // probes of an earlier generation are ignored.
     std::uint64_t generation = 0;
+    // Cancels and probes in flight.
     std::uint32_t calls = 0;
     bool drain_known = false;
   };
 
-  void TakeDrain(Use& use, bool drain);
+  void TakeDrain(BackendState& state, bool drain);
   void CutOff();
   void RefreshAccess();
-  void NoteLetGo();
-  void Perform(Use& use, const GateActions& actions);
-  void PerformOne(Use& use, const GateAction& action);
-  void ArmTimer(Use& use);
-  void StartSearch(Use& use, SubqueryId id);
-  void OnReply(Use& use, SubqueryId id);
-  void EndSearch(Use& use, SubqueryId id);
-  void SendCall(Use& use, SubqueryId id, bool probe);
-  void OnCancelDone(Use& use, SubqueryId id);
+  void RecordReleasedBackends();
+  void Perform(BackendState& state, const GateActions& actions);
+  void PerformOne(BackendState& state, const GateAction& action);
+  void ArmTimer(BackendState& state);
+  void StartSearch(BackendState& state, SubqueryId id);
+  void OnReply(BackendState& state, SubqueryId id);
+  void EndSearch(BackendState& state, SubqueryId id);
+  void SendCall(BackendState& state, SubqueryId id, bool probe);
+  void OnCancelDone(BackendState& state, SubqueryId id);
   BackendReply RandomReply();
-  void Note(EventKind kind, const Use& use, SubqueryId id = 0);
-  void NoteResult(const Use& use, SubqueryId id,
-                  protocol::SubqueryOutcome outcome);
+  void Record(EventKind kind, const BackendState& state, SubqueryId id = 0);
+  void RecordResult(const BackendState& state, SubqueryId id,
+                    protocol::SubqueryOutcome outcome);
 
   std::string name_;
   sim::Timeline& timeline_;
-  Chances& chances_;
+  RandomSource& random_;
   WorldResult& result_;
   PlantedDefect defect_;
   OwnershipTracker tracker_;
   session::FleetViewPointer view_;
-  std::map<std::string, std::unique_ptr<Use>> uses_;
+  std::map<std::string, std::unique_ptr<BackendState>> backends_;
   std::optional<MonotonicTime> lease_end_;
   bool leased_ = false;
-  MonotonicTime cut_until_;
+  MonotonicTime partitioned_until_;
 };
 
 }  // namespace juniperway::owner::testing
--- a/test/unit/owner/backend_gate_test.cc
+++ b/test/unit/owner/backend_gate_test.cc
@@ -14,15 +14,16 @@
                              .queue_limit = 4,
                              .slow_start = Duration::zero()};
 
-// Teaches the gate that a subquery takes `service_time`.
-void Teach(BackendGate& gate, Duration service_time, MonotonicTime now) {
-  constexpr SubqueryId kTeacher = 1'000'000;
-  REQUIRE(Started(gate.Submit(kTeacher, now + seconds(100), now)).size() == 1);
-  gate.OnReply(kTeacher, Served(), now + service_time);
+// Makes `service_time` the gate's mean service time.
+void SetServiceTime(BackendGate& gate, Duration service_time,
+                    MonotonicTime now) {
+  constexpr SubqueryId kId = 1'000'000;
+  REQUIRE(Started(gate.Submit(kId, now + seconds(100), now)).size() == 1);
+  gate.OnReply(kId, Served(), now + service_time);
   REQUIRE(gate.mean_service_time() == service_time);
 }
 
-TEST_CASE("A slot is free again only when the back end answered") {
+TEST_CASE("A slot is free again only after the backend has answered") {
   BackendGate gate = OpenGate(kTwoSlots, At(0));
   CHECK(Started(gate.Submit(1, At(1000), At(0))).size() == 1);
   CHECK(Started(gate.Submit(2, At(1000), At(0))).size() == 1);
@@ -35,7 +36,7 @@
   CHECK(Started(cancelled).empty());
   CHECK(gate.running() == 2);
 
-  // The cancel call's own answer says nothing of the search.
+  // The answer to the cancel does not end the search.
   CHECK(Started(gate.OnCancelDone(At(11))).empty());
   BackendReply stopped;
   stopped.kind = ReplyKind::kStopped;
@@ -44,7 +45,7 @@
         std::vector<SubqueryId>{3});
 }
 
-TEST_CASE("A cancelled search that is not answered loses its connection") {
+TEST_CASE("The gate closes the connection of an unanswered cancelled search") {
   BackendGate gate = OpenGate(kTwoSlots, At(0));
   gate.Submit(1, At(1000), At(0));
   gate.Cancel(1, At(10));
@@ -57,7 +58,7 @@
   CHECK(gate.breaker_state(close_at) == BreakerState::kClosed);
 }
 
-TEST_CASE("An expired search is reported at its deadline, its slot kept") {
+TEST_CASE("An expired search ends at its deadline and keeps its slot") {
   BackendGate gate = OpenGate(kTwoSlots, At(0));
   gate.Submit(1, At(100), At(0));
   const GateActions expired = gate.OnTimer(At(100));
@@ -69,7 +70,7 @@
   CHECK(gate.running() == 0);
 }
 
-TEST_CASE("The shortest remaining time goes first, expired work never") {
+TEST_CASE("The shortest remaining time goes first; nothing expired starts") {
   BackendGate gate =
       OpenGate({.slots = 1, .maximum_connections = 4, .queue_limit = 8}, At(0));
   gate.Submit(1, At(1000), At(0));
@@ -79,13 +80,13 @@
   gate.Submit(5, At(600), At(0));
   CHECK(OutcomeOf(gate.OnTimer(At(20)), 4) ==
         SubqueryOutcome::kExpiredUnstarted);
-  // No timer ran at 300, and still the expired one is passed over.
+  // No timer ran at 300 ms, and still the expired subquery does not start.
   const GateActions next = gate.OnReply(1, Served(), At(300));
   CHECK(OutcomeOf(next, 3) == SubqueryOutcome::kExpiredUnstarted);
   CHECK(Started(next) == std::vector<SubqueryId>{5});
 }
 
-TEST_CASE("A slot is taken until the back end has seen the close") {
+TEST_CASE("A slot stays in use until the close has reached the backend") {
   BackendGate gate =
       OpenGate({.slots = 1, .maximum_connections = 4, .queue_limit = 8}, At(0));
   gate.Submit(1, At(1000), At(0));
@@ -96,13 +97,13 @@
   CHECK(IdsOf(closed, GateActionKind::kCloseConnection) ==
         std::vector<SubqueryId>{1});
   CHECK(Started(closed).empty());
-  const MonotonicTime free_at = close_at + BackendGate::kCloseNotice;
+  const MonotonicTime free_at = close_at + BackendGate::kClosePropagationDelay;
   REQUIRE(gate.NextTimer(close_at) == free_at);
   CHECK(Started(gate.OnTimer(free_at - Duration(1))).empty());
   CHECK(Started(gate.OnTimer(free_at)) == std::vector<SubqueryId>{2});
 }
 
-TEST_CASE("A queued subquery is cancelled unstarted") {
+TEST_CASE("A cancelled queued subquery ends as not started") {
   BackendGate gate =
       OpenGate({.slots = 1, .maximum_connections = 4, .queue_limit = 8}, At(0));
   gate.Submit(1, At(1000), At(0));
@@ -112,10 +113,10 @@
   CHECK(gate.queued() == 0);
 }
 
-TEST_CASE("A full queue sheds the one with the longest remaining time") {
+TEST_CASE("A full queue sheds the subquery with the longest remaining time") {
   BackendGate gate =
       OpenGate({.slots = 1, .maximum_connections = 4, .queue_limit = 2}, At(0));
-  Teach(gate, milliseconds(10), At(0));
+  SetServiceTime(gate, milliseconds(10), At(0));
   gate.Submit(1, At(1000), At(10));
   gate.Submit(2, At(700), At(10));
   gate.Submit(3, At(600), At(10));
@@ -125,22 +126,22 @@
   CHECK(gate.queued() == 2);
 }
 
-TEST_CASE("What cannot finish in time is shed at once") {
+TEST_CASE("A subquery that cannot finish in time is shed at once") {
   BackendGate gate = OpenGate(
       {.slots = 1, .maximum_connections = 4, .queue_limit = 100}, At(0));
-  Teach(gate, milliseconds(100), At(0));
+  SetServiceTime(gate, milliseconds(100), At(0));
   gate.Submit(1, At(1000), At(100));
-  const GateActions hopeless = gate.Submit(2, At(250), At(100));
-  CHECK(OutcomeOf(hopeless, 2) == SubqueryOutcome::kShed);
-  CHECK(FinishOf(hopeless, 2)->retry_after > Duration::zero());
+  const GateActions infeasible = gate.Submit(2, At(250), At(100));
+  CHECK(OutcomeOf(infeasible, 2) == SubqueryOutcome::kShed);
+  CHECK(FinishOf(infeasible, 2)->retry_after > Duration::zero());
   CHECK(gate.Submit(3, At(350), At(100)).empty());
   CHECK(gate.queued() == 1);
 }
 
-TEST_CASE("A shorter one that pushes others back sheds what then is late") {
+TEST_CASE("An earlier deadline sheds queued subqueries that become late") {
   BackendGate gate = OpenGate(
       {.slots = 1, .maximum_connections = 4, .queue_limit = 100}, At(0));
-  Teach(gate, milliseconds(100), At(0));
+  SetServiceTime(gate, milliseconds(100), At(0));
   gate.Submit(1, At(1000), At(100));
   CHECK(gate.Submit(2, At(380), At(100)).empty());
   const GateActions actions = gate.Submit(3, At(320), At(100));
@@ -148,15 +149,15 @@
   CHECK(gate.queued() == 1);
 }
 
-TEST_CASE("Too high an estimate does not keep an idle back end idle") {
+TEST_CASE("Too high a service time estimate does not keep a backend idle") {
   BackendGate gate = OpenGate(kTwoSlots, At(0));
-  Teach(gate, seconds(10), At(0));
+  SetServiceTime(gate, seconds(10), At(0));
   CHECK(Started(gate.Submit(1, At(10100), At(10000))).size() == 1);
   gate.OnReply(1, Served(), At(10001));
   CHECK(gate.mean_service_time() < seconds(10));
 }
 
-TEST_CASE("Drain flushes the queue as not run and lets the rest finish") {
+TEST_CASE("A drain refuses the queue and lets running searches finish") {
   BackendGate gate = OpenGate(kTwoSlots, At(0));
   for (SubqueryId id = 1; id <= 4; ++id) {
     gate.Submit(id, At(1000), At(0));
@@ -182,7 +183,7 @@
   CHECK(Started(gate.OnReply(2, Draining(Served()), At(7))).empty());
 }
 
-TEST_CASE("Drain by health flushes the queue, too") {
+TEST_CASE("A drain reported by health refuses the queue") {
   BackendGate gate = OpenGate(kTwoSlots, At(0), milliseconds(1000));
   gate.Submit(1, At(9000), At(0));
   gate.Submit(2, At(9000), At(0));
@@ -198,7 +199,7 @@
       OpenGate({.slots = 1, .maximum_connections = 4, .queue_limit = 4}, At(0));
   gate.Submit(1, At(1000), At(0));
   gate.Submit(2, At(1000), At(0));
-  SUBCASE("let go") {
+  SUBCASE("released") {
     CHECK(OutcomeOf(gate.SetAccess(GateAccess::kClosed, At(1)), 2) ==
           SubqueryOutcome::kNotOwner);
   }
@@ -207,7 +208,7 @@
     CHECK(OutcomeOf(actions, 2) == SubqueryOutcome::kNotOwner);
     CHECK(FinishOf(actions, 2)->retry_after > Duration::zero());
   }
-  SUBCASE("planned stop") {
+  SUBCASE("graceful shutdown") {
     CHECK(OutcomeOf(gate.Stop(At(1)), 2) == SubqueryOutcome::kNotOwner);
   }
   CHECK(OutcomeOf(gate.Submit(3, At(1000), At(2)), 3) ==
@@ -217,7 +218,7 @@
   CHECK(gate.idle());
 }
 
-TEST_CASE("A cut-off closes every connection and loses what was started") {
+TEST_CASE("The end of the lease closes connections and loses searches") {
   BackendGate gate =
       OpenGate({.slots = 1, .maximum_connections = 4, .queue_limit = 4}, At(0));
   gate.Submit(1, At(1000), At(0));
@@ -236,25 +237,25 @@
                milliseconds(1000));
   gate.Submit(1, At(9000), At(0));
   gate.Submit(2, At(9000), At(0));
-  // No connection is left: the search's own is closed in place of a cancel,
-  // and the probe waits.
+  // All connections are in use: the gate closes the search's connection instead
+  // of sending a cancel, and the probe waits.
   CHECK(gate.OnTimer(At(1300)).empty());
   const GateActions cancelled = gate.Cancel(1, At(1301));
   CHECK(IdsOf(cancelled, GateActionKind::kSendCancel).empty());
   CHECK(IdsOf(cancelled, GateActionKind::kCloseConnection) ==
         std::vector<SubqueryId>{1});
-  // The closed connection counts until the back end has seen the close.
+  // The closed connection counts until the close has reached the backend.
   CHECK(IdsOf(cancelled, GateActionKind::kProbe).empty());
   CHECK(gate.connections() == 2);
   CHECK(Started(gate.Submit(3, At(9000), At(1302))).empty());
-  const MonotonicTime free_at = At(1301) + BackendGate::kCloseNotice;
+  const MonotonicTime free_at = At(1301) + BackendGate::kClosePropagationDelay;
   REQUIRE(gate.NextTimer(At(1302)) == free_at);
   CHECK(IdsOf(gate.OnTimer(free_at), GateActionKind::kProbe).size() == 1);
   CHECK(gate.connections() == 2);
   CHECK(Started(gate.OnProbeDone(std::nullopt, free_at)).size() == 1);
 }
 
-TEST_CASE("Sheds lower the concurrency, served subqueries restore it") {
+TEST_CASE("Sheds lower the concurrency limit, served subqueries raise it") {
   BackendGate gate = OpenGate(
       {.slots = 4, .maximum_connections = 10, .queue_limit = 9}, At(0));
   for (SubqueryId id = 1; id <= 4; ++id) {
@@ -262,7 +263,7 @@
   }
   gate.OnReply(1, Shed(), At(100));
   CHECK(gate.UsableSlots(At(100)) == 2);
-  // Of the same wave: no second step.
+  // This subquery was sent before the decrease, so the limit stays.
   gate.OnReply(2, Shed(), At(101));
   CHECK(gate.UsableSlots(At(101)) == 2);
   gate.OnReply(3, Served(), At(102));
@@ -279,7 +280,7 @@
   CHECK(served < 100);
 }
 
-TEST_CASE("After a shed with nothing else running there is a pause") {
+TEST_CASE("A shed of the only running subquery begins a backoff") {
   BackendGate gate = OpenGate(kTwoSlots, At(0));
   gate.Submit(1, At(9000), At(0));
   gate.OnReply(1, Shed(milliseconds(300)), At(10));
@@ -289,7 +290,7 @@
   CHECK(Started(gate.OnTimer(At(310))) == std::vector<SubqueryId>{2});
 }
 
-TEST_CASE("The breaker opens, refuses, and is tried by one subquery") {
+TEST_CASE("The breaker opens, refuses, and admits one trial subquery") {
   BackendGate gate = OpenGate(kTwoSlots, At(0));
   MonotonicTime now = At(0);
   SubqueryId id = 1;
@@ -306,27 +307,27 @@
   now += pause;
   CHECK(Started(gate.Submit(100, now + seconds(9), now)).size() == 1);
   CHECK(Started(gate.Submit(101, now + seconds(9), now)).empty());
-  SUBCASE("the trial fails: a longer pause") {
+  SUBCASE("the trial fails: a longer backoff") {
     CHECK(OutcomeOf(gate.OnReply(100, Broken(), now), 101) ==
           SubqueryOutcome::kShed);
     CHECK(gate.breaker_state(now) == BreakerState::kOpen);
   }
-  SUBCASE("the trial succeeds: traffic flows") {
+  SUBCASE("the trial succeeds: the breaker closes") {
     CHECK(Started(gate.OnReply(100, Served(), now)).size() == 1);
     CHECK(gate.breaker_state(now) == BreakerState::kClosed);
   }
 }
 
-TEST_CASE("An answered probe lets one subquery try before the pause is over") {
+TEST_CASE("An answered probe admits a trial before the backoff is over") {
   BackendGate gate = OpenGate(kTwoSlots, At(0), /*probe_interval=*/seconds(1));
   for (SubqueryId id = 1; id <= 5; ++id) {
     gate.Submit(id, At(99000), At(0));
     gate.OnReply(id, Broken(), At(0));
   }
   REQUIRE(gate.breaker_state(At(1)) == BreakerState::kOpen);
-  const MonotonicTime probe = At(1250);  // At the latest.
+  const MonotonicTime probe = At(1250);  // Latest time with the jitter.
   REQUIRE(IdsOf(gate.OnTimer(probe), GateActionKind::kProbe).size() == 1);
-  // Grows to pauses that outlast the next probe.
+  // Further failures raise the backoff above two seconds.
   MonotonicTime now = probe;
   while (gate.breaker_state(now + seconds(2)) != BreakerState::kOpen) {
     now += seconds(10);
@@ -346,7 +347,7 @@
   }
 }
 
-TEST_CASE("A breaker that may not open keeps trying") {
+TEST_CASE("A breaker that may not open keeps admitting subqueries") {
   BackendGate gate = OpenGate(kTwoSlots, At(0));
   gate.SetMayEject(false, At(0));
   for (SubqueryId id = 1; id < 20; ++id) {
@@ -368,7 +369,7 @@
   CHECK(gate.UsableSlots(At(1400)) == 2);
   CHECK(gate.UsableSlots(At(1699)) == 4);
   CHECK(gate.UsableSlots(At(1700)) == 5);
-  // A queued subquery starts when its slot opens, not only at an answer.
+  // A queued subquery starts when its slot opens, without an answer.
   gate.Submit(1, At(9000), At(1300));
   gate.Submit(2, At(9000), At(1300));
   const auto step = gate.NextTimer(At(1300));
@@ -376,7 +377,7 @@
   CHECK(Started(gate.OnTimer(*step)) == std::vector<SubqueryId>{2});
 }
 
-TEST_CASE("After an outage the slots open slowly, too") {
+TEST_CASE("After an outage the slots open one after the other") {
   const GateSettings settings{.slots = 5,
                               .maximum_connections = 20,
                               .queue_limit = 20,
@@ -393,7 +394,7 @@
   CHECK(gate.UsableSlots(At(1401)) == 5);
 }
 
-TEST_CASE("Fewer slots than running searches: nothing starts until below") {
+TEST_CASE("With fewer slots than running searches nothing starts") {
   BackendGate gate = OpenGate(kTwoSlots, At(0));
   for (SubqueryId id = 1; id <= 3; ++id) {
     gate.Submit(id, At(9000), At(0));
--- a/test/unit/owner/backend_health_test.cc
+++ b/test/unit/owner/backend_health_test.cc
@@ -29,7 +29,7 @@
   CHECK(report->index_versions.at(7) == std::set<std::string>{"a", "b"});
 }
 
-TEST_CASE("Draining is said by state or header") {
+TEST_CASE("The state or the header reports a drain") {
   CHECK(ParseHealth(Health(R"({"state":"draining","index_versions":{}})"))
             ->draining);
   net::HttpClientResponse response =
@@ -38,7 +38,7 @@
   CHECK(ParseHealth(response)->draining);
 }
 
-TEST_CASE("A malformed or missing health answer says nothing") {
+TEST_CASE("A malformed or missing health answer gives no report") {
   CHECK_FALSE(ParseHealth(net::HttpClientResponse()));
   CHECK_FALSE(ParseHealth(Health("")));
   CHECK_FALSE(ParseHealth(Health(R"({"state":"ok"})")));
@@ -53,7 +53,7 @@
   CHECK_FALSE(ParseHealth(failed));
 }
 
-TEST_CASE("A version is held when all its required shards are there") {
+TEST_CASE("A backend holds a version if it has all required shards of it") {
   const RequiredShards required = {
       {7, {"a", "b"}}, {8, {"a", "c"}}, {9, {"a"}}, {10, {}}};
   HealthReport report;
@@ -66,7 +66,7 @@
   CHECK(held.held() == Versions{7});
 }
 
-TEST_CASE("Real answers outweigh health for a while") {
+TEST_CASE("Answers to searches take precedence over health for a time") {
   const RequiredShards required = {{7, {"a"}}, {8, {"a"}}};
   HealthReport report;
   report.index_versions = {{7, {"a"}}};
@@ -75,7 +75,8 @@
   held.OnAnswer(8, true, At(0));
   held.OnHealth(report, required, At(1000));
   CHECK(held.held() == Versions{8});
-  held.OnHealth(report, required, At(0) + HeldVersions::kAnswerHold);
+  held.OnHealth(report, required,
+                At(0) + HeldVersions::kAnswerPrecedenceWindow);
   CHECK(held.held() == Versions{7});
 }
 
--- a/test/unit/owner/backend_reply_test.cc
+++ b/test/unit/owner/backend_reply_test.cc
@@ -29,7 +29,7 @@
   return InterpretSearchReply(response, kExpected).outcome;
 }
 
-TEST_CASE("Each status of the back-end protocol has its outcome") {
+TEST_CASE("Each status of the backend protocol has its outcome") {
   struct Case {
     int status;
     SubqueryOutcome with_not_run;
@@ -57,7 +57,7 @@
   }
 }
 
-TEST_CASE("A shed by a draining back end is a drain only when not run") {
+TEST_CASE("A shed by a draining backend is a drain only if it was not run") {
   CHECK(
       OutcomeOf(Answer(503, {{"x-not-run", "true"}, {"x-draining", "true"}})) ==
       SubqueryOutcome::kDraining);
@@ -67,7 +67,7 @@
   CHECK(may_have_run.draining);
 }
 
-TEST_CASE("Without an answer, what counts is whether a byte was sent") {
+TEST_CASE("Without an answer, the outcome depends on whether a byte was sent") {
   HttpClientResponse response;
   response.progress = HttpProgress::kNotSent;
   CHECK(OutcomeOf(response) == SubqueryOutcome::kUnreachable);
@@ -77,7 +77,7 @@
   CHECK(OutcomeOf(response) == SubqueryOutcome::kExpiredStarted);
 }
 
-TEST_CASE("Rows outside the asked range are dropped and counted") {
+TEST_CASE("Rows outside the requested range are dropped and counted") {
   const BackendReply reply =
       InterpretSearchReply(Answer(200, {},
                                   R"({"index_version":7,"shard":"north","rows":[
@@ -91,7 +91,7 @@
   CHECK(reply.dropped_rows == 2);
 }
 
-TEST_CASE("A body that is not of the asked shard and version is lost") {
+TEST_CASE("A body of another shard or version, or malformed, is lost") {
   const std::vector<std::string> bodies = {
       R"({"index_version":8,"shard":"north","rows":[]})",
       R"({"index_version":7,"shard":"south","rows":[]})",
@@ -117,7 +117,7 @@
   }
 }
 
-TEST_CASE("Load and retry time are read, malformed ones ignored") {
+TEST_CASE("X-Load and Retry-After are read, and ignored if malformed") {
   BackendReply reply = InterpretSearchReply(
       Answer(503, {{"x-load", "3/5"}, {"retry-after", "2"}}), kExpected);
   REQUIRE(reply.load);
--- a/test/unit/owner/circuit_breaker_test.cc
+++ b/test/unit/owner/circuit_breaker_test.cc
@@ -16,7 +16,7 @@
   REQUIRE(breaker.State(now) == BreakerState::kOpen);
 }
 
-TEST_CASE("An answer in between keeps the breaker closed") {
+TEST_CASE("An answer between failures keeps the breaker closed") {
   CircuitBreaker breaker(1);
   for (int i = 0; i < 100; ++i) {
     breaker.OnFailure(At(i));
@@ -26,7 +26,7 @@
   CHECK(breaker.State(At(100)) == BreakerState::kClosed);
 }
 
-TEST_CASE("Pauses grow, are bounded, and differ between owners") {
+TEST_CASE("The backoff grows, is bounded, and differs between owners") {
   CircuitBreaker breaker(1);
   FailUntilOpen(breaker, At(0));
   const Duration first = breaker.retry_at() - At(0);
@@ -50,7 +50,7 @@
   CHECK(retries.size() > 4);
 }
 
-TEST_CASE("Late failures of earlier searches do not lengthen the pause") {
+TEST_CASE("Late failures of earlier searches do not lengthen the backoff") {
   CircuitBreaker breaker(1);
   FailUntilOpen(breaker, At(0));
   const MonotonicTime retry_at = breaker.retry_at();
@@ -58,14 +58,14 @@
   CHECK(breaker.retry_at() == retry_at);
 }
 
-TEST_CASE("An answer closes it and forgets the pauses") {
+TEST_CASE("An answer closes the breaker") {
   CircuitBreaker breaker(1);
   FailUntilOpen(breaker, At(0));
   breaker.OnAnswer();
   CHECK(breaker.State(At(0)) == BreakerState::kClosed);
 }
 
-TEST_CASE("Where it may not open, it closes and stays closed") {
+TEST_CASE("A breaker that may not open closes and stays closed") {
   CircuitBreaker breaker(1);
   FailUntilOpen(breaker, At(0));
   breaker.SetMayOpen(false);
--- a/test/unit/owner/drain_state_test.cc
+++ b/test/unit/owner/drain_state_test.cc
@@ -7,7 +7,7 @@
 namespace juniperway::owner::testing {
 namespace {
 
-TEST_CASE("Each source drains on its own") {
+TEST_CASE("Each source alone reports a drain") {
   DrainState state;
   CHECK_FALSE(state.draining());
   SUBCASE("operator") { state.SetOperator(true); }
@@ -18,43 +18,43 @@
   CHECK(state.draining());
 }
 
-TEST_CASE("Health that still says ok does not withdraw a header") {
+TEST_CASE("Health that lags does not withdraw the drain of a header") {
   DrainState state;
   state.OnAnswer(true, At(0));
   state.OnHealth(false, At(1000), At(1001));
   CHECK(state.source() == DrainSource::kAnswer);
-  // An answer that was on its way when the drain began withdraws nothing.
+  // An answer in flight when the drain began does not withdraw the drain.
   state.OnAnswer(false, At(1002));
   CHECK(state.draining());
-  const MonotonicTime held = At(0) + DrainState::kHeaderHold;
+  const MonotonicTime held = At(0) + DrainState::kHeaderPrecedenceWindow;
   state.OnHealth(false, held - Duration(1), held);
   CHECK(state.draining());
   state.OnHealth(false, held, held);
   CHECK_FALSE(state.draining());
 }
 
-TEST_CASE("A real answer outweighs health, which is then not believed") {
+TEST_CASE("An answer withdraws the drain of health and ignores health then") {
   DrainState state;
   state.OnHealth(true, At(0), At(1));
-  state.OnAnswer(false, At(50));  // May have been sent before health's word.
+  state.OnAnswer(false, At(50));  // May have been sent before health's report.
   CHECK(state.draining());
   state.OnAnswer(false, At(200));
   CHECK_FALSE(state.draining());
   state.OnHealth(true, At(1000), At(1001));
   CHECK_FALSE(state.draining());
-  const MonotonicTime later = At(200) + DrainState::kDistrust;
+  const MonotonicTime later = At(200) + DrainState::kHealthIgnoredWindow;
   state.OnHealth(true, later, later);
   CHECK(state.draining());
 }
 
-TEST_CASE("Health's own word is withdrawn by health") {
+TEST_CASE("Health withdraws its own drain") {
   DrainState state;
   state.OnHealth(true, At(0), At(1));
   state.OnHealth(false, At(1000), At(1001));
   CHECK_FALSE(state.draining());
 }
 
-TEST_CASE("A distrusted health does not hide what an answer says") {
+TEST_CASE("While health is ignored, an answer still reports a drain") {
   DrainState state;
   state.OnHealth(true, At(0), At(1));
   state.OnAnswer(false, At(200));
--- a/test/unit/owner/ejection_test.cc
+++ b/test/unit/owner/ejection_test.cc
@@ -7,7 +7,7 @@
 
 using Names = std::set<std::string>;
 
-// One shard with replicas r1..rN.
+// View of one shard with replicas r1 to rN.
 session::FleetView ViewOf(int replicas, double share) {
   session::FleetView view;
   view.services["logs"].maximum_ejected_share = share;
@@ -25,18 +25,18 @@
   CHECK_FALSE(policy.MayEject("r1", {}));
 }
 
-TEST_CASE("The share bounds how many are out at once") {
+TEST_CASE("The share bounds how many replicas are ejected at the same time") {
   const EjectionPolicy policy(ViewOf(6, 0.34), {"r1", "r2", "r3"});
   CHECK(policy.MayEject("r1", {}));
   CHECK(policy.MayEject("r2", {"r1"}));
   CHECK_FALSE(policy.MayEject("r3", {"r1", "r2"}));
-  // Open ones keep the right, but not more of them than the share allows.
+  // Open breakers may stay open, up to the share.
   CHECK(policy.MayEject("r1", {"r1", "r2"}));
   CHECK(policy.MayEject("r2", {"r1", "r2"}));
   CHECK_FALSE(policy.MayEject("r3", {"r1", "r2", "r3"}));
 }
 
-TEST_CASE("Back ends of other shards or other owners do not count") {
+TEST_CASE("Backends of other shards or other owners do not count") {
   session::FleetView view = ViewOf(3, 0.34);
   view.backends["r2"].shards = {"south"};
   view.backends["r4"] = view.backends["r1"];
@@ -46,7 +46,7 @@
   CHECK_FALSE(policy.MayEject("r1", {"r3"}));
 }
 
-TEST_CASE("An unknown back end is not ejected") {
+TEST_CASE("An unknown backend is not ejected") {
   const EjectionPolicy policy(ViewOf(3, 0.5), {"gone"});
   CHECK_FALSE(policy.MayEject("gone", {}));
 }
--- a/test/unit/owner/fair_queue_test.cc
+++ b/test/unit/owner/fair_queue_test.cc
@@ -13,32 +13,32 @@
 constexpr ClassIndex kNoisy = 1;
 constexpr Duration kSlotTime = milliseconds(1);
 
-// Starts the next one.
+// Takes the next subquery and charges its class.
 SubqueryId StartNext(FairQueue& queue, MonotonicTime now) {
   const SubqueryId id = queue.TakeNext(now).id;
   queue.Charge(id, kSlotTime, now);
   return id;
 }
 
-// Ids from 100 on are of the noisy class.
+// Adds subqueries of the noisy class, with ids from 100 on.
 void AddNoisy(FairQueue& queue, int count) {
   for (int i = 0; i < count; ++i) {
     queue.Insert(100 + static_cast<SubqueryId>(i), At(1000 + i), kNoisy);
   }
 }
 
-TEST_CASE("A class within its share goes before one beyond it") {
+TEST_CASE("A class within its share goes before one that exceeds its share") {
   FairQueue queue({1, 1});
   AddNoisy(queue, 20);
   for (int i = 0; i < 10; ++i) {
     StartNext(queue, At(0));
   }
-  // Less remaining time does not help the noisy one, more does not hurt.
+  // The quiet class goes first although its subquery has more remaining time.
   queue.Insert(1, At(9000), kQuiet);
   CHECK(StartNext(queue, At(1)) == 1);
 }
 
-TEST_CASE("Classes that always have work share by their weights") {
+TEST_CASE("Classes that always have subqueries share by their weights") {
   FairQueue queue({1, 3});
   AddNoisy(queue, 400);
   for (SubqueryId id = 1; id <= 80; ++id) {
@@ -52,7 +52,7 @@
   CHECK(noisy <= 76);
 }
 
-TEST_CASE("Within the share, and within a class, the shortest goes first") {
+TEST_CASE("Classes within their share go by the shortest remaining time") {
   FairQueue queue({1, 1});
   queue.Insert(1, At(30), kQuiet);
   queue.Insert(2, At(20), kQuiet);
@@ -63,7 +63,7 @@
   CHECK(queue.empty());
 }
 
-TEST_CASE("Idle slots used alone are forgiven after the longest lead") {
+TEST_CASE("Idle slots used by one class no longer count after kMaximumLead") {
   FairQueue queue({1, 1});
   AddNoisy(queue, 1000);
   for (int i = 0; i < 500; ++i) {
@@ -72,11 +72,11 @@
   for (SubqueryId id = 1; id <= 99; ++id) {
     queue.Insert(id, At(2000), kQuiet);
   }
-  const MonotonicTime later = At(0) + FairQueue::kLongestLead;
+  const MonotonicTime later = At(0) + FairQueue::kMaximumLead;
   CHECK(StartNext(queue, later) >= 100);
 }
 
-TEST_CASE("What is refused or removed is not charged") {
+TEST_CASE("Refused and removed subqueries are not charged") {
   FairQueue queue({1, 1});
   queue.Insert(1, At(10), kQuiet);
   queue.Insert(2, At(11), kQuiet);
@@ -89,7 +89,7 @@
   CHECK(StartNext(queue, At(0)) == 4);
 }
 
-TEST_CASE("The class with most waiting for its weight gives way") {
+TEST_CASE("The class with most queued subqueries for its weight sheds first") {
   FairQueue queue({4, 1});
   AddNoisy(queue, 2);
   for (SubqueryId id = 1; id <= 4; ++id) {
@@ -99,7 +99,7 @@
   CHECK(queue.Earliest().id == 1);
 }
 
-TEST_CASE("New weights keep what waits; unknown classes count as the first") {
+TEST_CASE("New weights keep the queue; unknown classes count as the first") {
   FairQueue queue({1, 1});
   queue.Insert(1, At(10), kNoisy);
   queue.Insert(2, At(20), 7);
--- a/test/unit/owner/gate_fixture.h
+++ b/test/unit/owner/gate_fixture.h
@@ -1,4 +1,4 @@
-// Shorthands for tests of BackendGate.
+// Helper functions for tests of BackendGate.
 #pragma once
 
 #include <algorithm>
@@ -13,7 +13,7 @@
   return MonotonicTime(milliseconds(ms));
 }
 
-// Probes are out of the way unless a test asks for them.
+// Probe interval for tests without probes.
 inline constexpr Duration kNoProbes = seconds(100000);
 
 inline std::vector<SubqueryId> IdsOf(const GateActions& actions,
@@ -39,7 +39,7 @@
   return found == actions.end() ? std::nullopt : std::optional(*found);
 }
 
-// What became of `id`; kRows stands for "nothing yet".
+// Outcome of `id`; kRows if `actions` has no kFinish for it.
 inline protocol::SubqueryOutcome OutcomeOf(const GateActions& actions,
                                            SubqueryId id) {
   const auto finish = FinishOf(actions, id);
@@ -70,7 +70,7 @@
 
 inline BackendReply Broken() { return BackendReply(); }
 
-// An open gate whose first probe was answered.
+// Returns an open gate whose first probe has been answered.
 inline BackendGate OpenGate(const GateSettings& settings, MonotonicTime now,
                             Duration probe_interval = kNoProbes) {
   BackendGate gate(settings, probe_interval, /*seed=*/7);
--- a/test/unit/owner/ownership_tracker_test.cc
+++ b/test/unit/owner/ownership_tracker_test.cc
@@ -10,7 +10,7 @@
 
 using Names = std::vector<std::string>;
 
-// Zone "z" with two gateways; each owns some of the back ends.
+// View of zone "z" with two gateways; each owns some of the backends.
 session::FleetView TwoGateways(resources::Revision revision) {
   session::FleetView view;
   view.revision = revision;
@@ -35,7 +35,7 @@
   return routing::OwnershipTable(Share(view)).OwnedBy(daemon);
 }
 
-TEST_CASE("A back end is used once the zone released the view's revision") {
+TEST_CASE("A backend is used once the zone has released the view's revision") {
   const session::FleetView view = TwoGateways(5);
   const std::string mine = OwnedBy("g1", view).front();
   const std::string other = OwnedBy("g2", view).front();
@@ -50,7 +50,7 @@
   CHECK(tracker.AccessTo(other) == GateAccess::kClosed);
 }
 
-TEST_CASE("A view that changes nothing here needs no new release") {
+TEST_CASE("A view without changes for this owner needs no new release") {
   const std::string mine = OwnedBy("g1", TwoGateways(5)).front();
   OwnershipTracker tracker("g1");
   tracker.OnView(Share(TwoGateways(5)));
@@ -62,7 +62,7 @@
   CHECK(tracker.AccessTo(mine) == GateAccess::kOpen);
 }
 
-TEST_CASE("The released revision waits for what is being let go") {
+TEST_CASE("The released revision waits for the backends being released") {
   session::FleetView alone = TwoGateways(5);
   alone.members.erase("g2");
   const Names lost = OwnedBy("g2", TwoGateways(6));
@@ -73,7 +73,7 @@
   const auto change = tracker.OnView(Share(TwoGateways(6)));
   CHECK(change.lost == lost);
   CHECK(tracker.released() == 5);
-  // A later view does not release what the earlier one took away.
+  // A later view does not end the release of backends that were lost before.
   tracker.OnView(Share(TwoGateways(7)));
   CHECK(tracker.released() == 5);
   for (const std::string& name : lost) {
@@ -83,7 +83,7 @@
   CHECK(tracker.released() == 7);
 }
 
-TEST_CASE("What is taken back while being let go is let go first") {
+TEST_CASE("A backend regained during its release is released first") {
   session::FleetView alone = TwoGateways(5);
   alone.members.erase("g2");
   const std::string name = OwnedBy("g2", TwoGateways(6)).front();
@@ -116,7 +116,7 @@
   tracker.OnView(Share(TwoGateways(7)));
   tracker.OnView(Share(TwoGateways(8)));
   CHECK(tracker.released() == 5);
-  // What is in use stays in use: nobody else can have started on it.
+  // A backend in use stays in use: no other owner can have started searches.
   CHECK(tracker.AccessTo(mine) == GateAccess::kOpen);
   tracker.OnInForce(6);
   CHECK(tracker.released() == 5);
@@ -124,7 +124,7 @@
   CHECK(tracker.released() == 8);
 }
 
-TEST_CASE("What waits for release waits anew after a skipping view") {
+TEST_CASE("A backend not in use yet waits again after a skipping view") {
   const std::string mine = OwnedBy("g1", TwoGateways(5)).front();
   OwnershipTracker tracker("g1");
   tracker.OnView(Share(TwoGateways(5)));
@@ -137,7 +137,7 @@
   CHECK(tracker.AccessTo(mine) == GateAccess::kOpen);
 }
 
-TEST_CASE("Ownership ends with the lease and starts anew with the next") {
+TEST_CASE("Ownership ends with the lease and starts again with the next") {
   const std::string mine = OwnedBy("g1", TwoGateways(5)).front();
   OwnershipTracker tracker("g1");
   tracker.OnView(Share(TwoGateways(5)));
@@ -163,7 +163,7 @@
   CHECK(tracker.released() == 5);
 }
 
-TEST_CASE("A deleted back end is let go") {
+TEST_CASE("A deleted backend is released") {
   session::FleetView view = TwoGateways(5);
   const std::string mine = OwnedBy("g1", view).front();
   OwnershipTracker tracker("g1");
