--- a/source/common/quota/fleet_rate.cc
+++ b/source/common/quota/fleet_rate.cc
@@ -9,19 +9,19 @@
     : limit_(limit), tolerance_(tolerance), drift_(drift), advanced_to_(now) {}
 
 double FleetRate::Holder::rate() const {
-  double most = 0;
-  for (const Promise& promise : promises) {
-    most = std::max(most, promise.rate);
+  double maximum = 0;
+  for (const OutstandingGrant& grant_in_use : outstanding) {
+    maximum = std::max(maximum, grant_in_use.rate);
   }
-  return most;
+  return maximum;
 }
 
 double FleetRate::Holder::stock() const {
-  double most = 0;
-  for (const Promise& promise : promises) {
-    most = std::max(most, promise.stock);
+  double maximum = 0;
+  for (const OutstandingGrant& grant_in_use : outstanding) {
+    maximum = std::max(maximum, grant_in_use.stock);
   }
-  return most;
+  return maximum;
 }
 
 FleetRate::Held FleetRate::KnownHeld(bool pools) const {
@@ -40,53 +40,56 @@
   for (const auto& [name, holder] : holders_) {
     if (holder.is_pool == pools) {
       wanted.rate += holder.wanted_rate;
-      wanted.stock += holder.wanted_stock;
+      wanted.stock += holder.wanted_reserve;
     }
   }
   return wanted;
 }
 
-FleetRate::Held FleetRate::MostOf(bool pools) const {
+FleetRate::Held FleetRate::MaximumOf(bool pools) const {
   const double rate_share = pools ? kPoolsShare : kRoutersShare;
   const double stock_share = rate_share / (kPoolsShare + kRoutersShare);
   return {.rate = rate_share * limit_.per_second,
-          .stock = stock_share * StockLimit()};
+          .stock = stock_share * ReserveLimit()};
 }
 
 FleetRate::Held FleetRate::UnknownHeld(bool pools,
                                        const UnknownHolders& unknown) const {
-  const Held most = MostOf(pools);
+  const Held maximum = MaximumOf(pools);
   const Held known = KnownHeld(pools);
   const double share =
       pools ? std::min(1.0, static_cast<double>(unknown.pools) * kOnePoolShare)
             : (unknown.routers ? 1.0 : 0.0);
   return {
-      .rate = std::clamp(most.rate - known.rate, 0.0, share * most.rate),
-      .stock = std::clamp(most.stock - known.stock, 0.0, share * most.stock)};
+      .rate = std::clamp(maximum.rate - known.rate, 0.0, share * maximum.rate),
+      .stock =
+          std::clamp(maximum.stock - known.stock, 0.0, share * maximum.stock)};
 }
 
 double FleetRate::LeasedRate() const {
   return KnownHeld(true).rate + KnownHeld(false).rate;
 }
 
-double FleetRate::StockedTokens() const {
+double FleetRate::ReservedTokens() const {
   return KnownHeld(true).stock + KnownHeld(false).stock;
 }
 
-double FleetRate::StockLimit() const {
+double FleetRate::ReserveLimit() const {
   const double room =
       tolerance_.overage *
           (limit_.per_second * ToSeconds(tolerance_.window) + limit_.burst) +
       tolerance_.slack -
-      limit_.per_second * ToSeconds(kLongestGrantAge) * kGrantHops - kInFlight;
+      limit_.per_second * ToSeconds(kLongestGrantAge) * kGrantHops -
+      kUnsentRequests;
   return std::max(0.0, room);
 }
 
 double FleetRate::Capacity(const UnknownHolders& unknown) const {
-  const double stocked = StockedTokens() + UnknownHeld(true, unknown).stock +
+  const double stocked = ReservedTokens() + UnknownHeld(true, unknown).stock +
                          UnknownHeld(false, unknown).stock;
-  // Never under one, else no token would ever be whole.
-  return std::max(1.0, limit_.burst + std::max(0.0, StockLimit() - stocked));
+  // With a capacity below one, the bucket would never hold a whole
+  // token.
+  return std::max(1.0, limit_.burst + std::max(0.0, ReserveLimit() - stocked));
 }
 
 void FleetRate::SetLimit(const RateLimit& limit, MonotonicTime now) {
@@ -96,7 +99,7 @@
   }
 }
 
-void FleetRate::Forget(const std::string& name) { holders_.erase(name); }
+void FleetRate::RemoveHolder(const std::string& name) { holders_.erase(name); }
 
 void FleetRate::Advance(const UnknownHolders& unknown, MonotonicTime now) {
   const double leased = LeasedRate() + UnknownHeld(true, unknown).rate +
@@ -108,35 +111,38 @@
   }
   tokens_ = std::min(tokens_, Capacity(unknown));
   for (auto& [name, holder] : holders_) {
-    std::erase_if(holder.promises,
-                  [now](const Promise& promise) { return promise.end <= now; });
+    std::erase_if(holder.outstanding,
+                  [now](const OutstandingGrant& grant_in_use) {
+                    return grant_in_use.end <= now;
+                  });
   }
   std::erase_if(holders_, [](const auto& entry) {
-    return entry.second.promises.empty();
+    return entry.second.outstanding.empty();
   });
 }
 
 void FleetRate::Confirm(Holder& holder, const RateRequest& request,
                         const UnknownHolders& unknown,
                         MonotonicTime now) const {
-  const bool known =
-      std::ranges::any_of(holder.promises, [&](const Promise& promise) {
-        return promise.number == request.held_grant;
+  const bool known = std::ranges::any_of(
+      holder.outstanding, [&](const OutstandingGrant& grant_in_use) {
+        return grant_in_use.number == request.held_grant;
       });
   if (known) {
-    std::erase_if(holder.promises, [&](const Promise& promise) {
-      return promise.number < request.held_grant;
-    });
+    std::erase_if(holder.outstanding,
+                  [&](const OutstandingGrant& grant_in_use) {
+                    return grant_in_use.number < request.held_grant;
+                  });
   } else if (unknown.any() && request.held_left > Duration(0)) {
-    const double left = ToSeconds(request.held_left) * (1 + drift_);
-    holder.promises.push_front({.number = request.held_grant,
-                                .rate = request.held_rate,
-                                .stock = request.held_stock,
-                                .end = now + FromSeconds(left)});
+    const double remaining_time = ToSeconds(request.held_left) * (1 + drift_);
+    holder.outstanding.push_front({.number = request.held_grant,
+                                   .rate = request.held_rate,
+                                   .stock = request.held_stock,
+                                   .end = now + FromSeconds(remaining_time)});
   }
 }
 
-void FleetRate::TakeReturned(Holder& holder, const RateRequest& request) {
+void FleetRate::ReclaimReturned(Holder& holder, const RateRequest& request) {
   if (holder.returned && request.returned > *holder.returned) {
     tokens_ += request.returned - *holder.returned;
   }
@@ -145,31 +151,34 @@
 
 FleetRate::Held FleetRate::ShareOf(const Holder& holder,
                                    const UnknownHolders& unknown) const {
-  const Held most = MostOf(holder.is_pool);
+  const Held maximum = MaximumOf(holder.is_pool);
   const Held known = KnownHeld(holder.is_pool);
   const Held others = UnknownHeld(holder.is_pool, unknown);
   const Held wanted = Wanted(holder.is_pool);
   const Held own = {.rate = holder.rate(), .stock = holder.stock()};
-  const double one = holder.is_pool ? kOnePoolShare : 1;
+  const double holder_share = holder.is_pool ? kOnePoolShare : 1;
 
   Held share;
   share.stock =
-      wanted.stock > most.stock
-          ? std::max(1.0, holder.wanted_stock * most.stock / wanted.stock)
-          : holder.wanted_stock;
-  const double free_stock =
-      std::max(own.stock, most.stock - others.stock - known.stock + own.stock);
-  share.stock = std::min({share.stock, one * most.stock, free_stock});
+      wanted.stock > maximum.stock
+          ? std::max(1.0, holder.wanted_reserve * maximum.stock / wanted.stock)
+          : holder.wanted_reserve;
+  const double available_reserve = std::max(
+      own.stock, maximum.stock - others.stock - known.stock + own.stock);
+  share.stock =
+      std::min({share.stock, holder_share * maximum.stock, available_reserve});
   if (share.stock < 1) {
-    // Less than one token is never used, and what comes in then is lost.
+    // A reserve below one token never admits a request, and the tokens
+    // of the leased rate would be lost.
     return {};
   }
-  share.rate = wanted.rate > most.rate
-                   ? holder.wanted_rate * most.rate / wanted.rate
+  share.rate = wanted.rate > maximum.rate
+                   ? holder.wanted_rate * maximum.rate / wanted.rate
                    : holder.wanted_rate;
-  const double free_rate =
-      std::max(own.rate, most.rate - others.rate - known.rate + own.rate);
-  share.rate = std::min({share.rate, one * most.rate, free_rate});
+  const double available_rate =
+      std::max(own.rate, maximum.rate - others.rate - known.rate + own.rate);
+  share.rate =
+      std::min({share.rate, holder_share * maximum.rate, available_rate});
   return share;
 }
 
@@ -181,17 +190,18 @@
   return taken;
 }
 
-double FleetRate::WantedStock(const RateRequest& request, double demand) {
+double FleetRate::WantedReserve(const RateRequest& request, double demand) {
   if (request.is_pool) {
-    return kPoolStock + demand;
+    return kPoolBaseReserve + demand;
   }
-  return demand < kLeastStockDemand ? 0 : 1 + demand * ToSeconds(kStockTime);
+  return demand < kMinimumReserveDemand ? 0
+                                        : 1 + demand * ToSeconds(kReserveTime);
 }
 
 Duration FleetRate::WaitForToken() const {
   const double missing = std::max(0.0, 1 - tokens_);
-  const double wait = refill_ > 0 ? missing / refill_ : ToSeconds(kLongestWait);
-  return std::min(kLongestWait, FromSeconds(wait));
+  const double wait = refill_ > 0 ? missing / refill_ : ToSeconds(kMaximumWait);
+  return std::min(kMaximumWait, FromSeconds(wait));
 }
 
 RateGrant FleetRate::Grant(const std::string& name, const RateRequest& request,
@@ -201,10 +211,10 @@
   Holder& holder = holders_[name];
   holder.is_pool = request.is_pool;
   Confirm(holder, request, unknown, now);
-  TakeReturned(holder, request);
+  ReclaimReturned(holder, request);
   const double demand = std::max(0.0, request.demand);
-  holder.wanted_stock = WantedStock(request, demand);
-  holder.wanted_rate = holder.wanted_stock > 0 ? kRateMargin * demand : 0;
+  holder.wanted_reserve = WantedReserve(request, demand);
+  holder.wanted_rate = holder.wanted_reserve > 0 ? kRateMargin * demand : 0;
 
   const Held share = ShareOf(holder, unknown);
   RateGrant grant;
@@ -213,12 +223,14 @@
   grant.rate = share.rate;
   grant.stock = share.stock;
   grant.lease = kRateLease;
-  const Duration here = FromSeconds(ToSeconds(kRateLease) * (1 + drift_));
-  holder.promises.push_back({.number = number,
-                             .rate = grant.rate,
-                             .stock = grant.stock,
-                             .end = now + here});
-  // The stocks have grown, perhaps: what is left is smaller.
+  const Duration lease_with_drift =
+      FromSeconds(ToSeconds(kRateLease) * (1 + drift_));
+  holder.outstanding.push_back({.number = number,
+                                .rate = grant.rate,
+                                .stock = grant.stock,
+                                .end = now + lease_with_drift});
+  // The grant may have raised the sum of the reserves, which lowers the
+  // capacity of the bucket.
   tokens_ = std::min(tokens_, Capacity(unknown));
 
   grant.tokens = TakeTokens(request.waiting);
@@ -226,7 +238,7 @@
     grant.wait = WaitForToken();
     return grant;
   }
-  // Half of what is left stays for requests that wait elsewhere.
+  // Half of the remaining tokens stay for requests queued at other routers.
   const auto room = std::min(static_cast<double>(request.room), grant.stock);
   grant.tokens += TakeTokens(
       static_cast<std::uint32_t>(std::min(room, std::max(0.0, tokens_) / 2)));
--- a/source/common/quota/fleet_rate.h
+++ b/source/common/quota/fleet_rate.h
@@ -1,24 +1,24 @@
-// The leader's account of one limit over the whole fleet: how much of it is
-// leased to which holder, and the tokens that are left to hand out one by one.
-// Holders are routers, and pools: control machines that hand tokens on to the
-// routers near them. Pure: time is an argument.
+// The leader's account of one rate limit over the whole fleet: how much of the
+// rate is leased to which holder, and the remaining tokens, which the leader
+// grants one by one. Holders are routers and pools. A pool is a control node
+// that passes tokens on to the routers near it. No I/O: time is an argument.
 //
-// The tokens of the limit come in at its rate. A part of that rate is leased:
-// each holder that has demand gets its share and goes on with it without asking
-// while the lease lasts, also when it is cut off. The rest fills one bucket
-// here, from which holders get tokens for requests that wait and to fill their
-// stocks. What comes to a holder whose stock is full is returned with its next
-// report.
+// Tokens of the limit come in at its rate. A share of that rate is leased: each
+// holder that has demand gets its share, and uses it without a request to the
+// leader while the lease lasts, also while it is partitioned. The rest of the
+// rate fills one bucket here. From the bucket, holders get tokens for queued
+// requests and for their reserves. A holder whose reserve is full returns the
+// tokens that do not fit with its next report.
 //
-// Bound. In any window W the fleet uses at most
-//   - the stocks that were held at its begin,
+// Bound. In any window W the fleet uses at most the sum of
+//   - the reserves that holders had at the begin of W,
 //   - rate x W, which leases and the bucket bring in together,
-//   - what was in the bucket, its capacity at most,
-//   - tokens that were on their way, rate x kLongestGrantAge x kGrantHops.
-// The capacity is what the tolerance leaves after the other terms, so that the
-// sum stays under (rate x W + burst) x (1 + overage) + slack. What a holder may
-// use counts from before a grant is sent until it has confirmed a later one, or
-// its lease has ended by this machine's clock with drift.
+//   - the content of the bucket, which is at most its capacity,
+//   - the tokens in flight, rate x kLongestGrantAge x kGrantHops.
+// The capacity is the remainder of the tolerance after the other terms, so that
+// the sum stays below (rate x W + burst) x (1 + overage) + slack. A grant
+// counts from before it is sent until the holder has confirmed a later one, or
+// until the lease has expired by the leader's clock, clock drift included.
 #pragma once
 
 #include <cstddef>
@@ -34,69 +34,74 @@
 
 namespace juniperway::quota {
 
-// Holders that an earlier leader may have leased to, and that this one has not
-// heard of yet.
+// Holders that an earlier leader may have leased to and that have not reported
+// to this leader yet.
 struct UnknownHolders {
+  // Number of pools.
   std::size_t pools = 0;
+  // Whether there may be any such router.
   bool routers = false;
 
   bool any() const { return pools > 0 || routers; }
 };
 
+// The account of one limit. RateGranter of the leader owns one for each key.
+// Rates are in tokens a second; a request takes one token.
 class FleetRate {
  public:
-  // Shares of the rate that all pools and all routers are leased at most. The
-  // rest is there for those that come new, in particular under a new leader,
-  // which does not know yet who holds what.
+  // Maximum shares of the rate that are leased to all pools and to all routers.
+  // The rest is for new holders, in particular under a new leader, which does
+  // not know all leases yet.
   static constexpr double kPoolsShare = 0.5;
   static constexpr double kRoutersShare = 0.25;
-  // Of what all pools may have, one has this share at most: a new leader that
-  // one of them has not reported to takes no more for leased. With three
-  // control machines, the fewest that bear a loss, each may have its third.
+  // Maximum share that one pool has of the amount for all pools. A new leader
+  // assumes no more than this for a pool that has not reported yet. With three
+  // control nodes, the minimum that tolerates a crash, each may have a third.
   static constexpr double kOnePoolShare = 1.0 / 3;
-  // A router gets this much more than its demand of late.
+  // Leased rate of a router as a multiple of its recent demand.
   static constexpr double kRateMargin = 1.25;
-  // A router's stock is one token and what its demand takes in this time: a
-  // second request that comes before the stock is filled again.
-  static constexpr Duration kStockTime = milliseconds(500);
-  // A router with less demand, requests a second, keeps no stock, and needs no
-  // rate: its token would lie idle for more than two seconds, and in a fleet of
-  // 89 routers that see each tenant now and then, nobody else would have one.
-  static constexpr double kLeastStockDemand = 0.5;
-  // A pool keeps these tokens besides what its demand takes in a second: enough
-  // for two routers that ask at the same moment.
-  static constexpr double kPoolStock = 2;
-  // Requests that were let through and not sent yet when a machine froze, over
-  // all routers.
-  static constexpr double kInFlight = 2;
-  // A router that has to wait is never told more: limits of less than one token
-  // in this time are rare.
-  static constexpr Duration kLongestWait = seconds(5);
-
-  // @param drift of two machines' clocks against each other, as a share.
+  // A router's reserve is one token plus its demand over this time, for a
+  // second request that comes before the reserve is full again.
+  static constexpr Duration kReserveTime = milliseconds(500);
+  // A router with less demand, in requests a second, has no reserve and no
+  // leased rate. Its token would be idle for more than two seconds, and with 89
+  // routers that each see a tenant now and then, no token would remain for the
+  // other routers.
+  static constexpr double kMinimumReserveDemand = 0.5;
+  // A pool's reserve is this number of tokens plus its demand over one second:
+  // enough for two routers that request tokens at the same moment.
+  static constexpr double kPoolBaseReserve = 2;
+  // Requests, over all routers, that took a token and had not been sent when
+  // the router's process paused. They are sent after the pause.
+  static constexpr double kUnsentRequests = 2;
+  // Maximum wait that the leader announces to a router. Limits of less than one
+  // token in this time are rare.
+  static constexpr Duration kMaximumWait = seconds(5);
+
+  // @param drift maximum clock drift between two machines, as a share.
   FleetRate(const RateLimit& limit, const RateTolerance& tolerance,
             double drift, MonotonicTime now);
 
   void SetLimit(const RateLimit& limit, MonotonicTime now);
 
-  // @param number of the grant.
-  // @param unknown holders.
+  // Answers the request of the holder `name`.
+  // @param number of the grant; see RateGrant.
   RateGrant Grant(const std::string& name, const RateRequest& request,
                   std::uint64_t number, const UnknownHolders& unknown,
                   MonotonicTime now);
 
-  // The holder's process is gone.
-  void Forget(const std::string& name);
+  // Removes a holder whose process has ended.
+  void RemoveHolder(const std::string& name);
 
-  // Rate that holders may be using, as far as they are known.
+  // Rate that the known holders may be using.
   double LeasedRate() const;
-  // Most tokens that they may be keeping.
-  double StockedTokens() const;
+  // Maximum number of tokens that the known holders may have in reserve.
+  double ReservedTokens() const;
   std::size_t holders() const { return holders_.size(); }
 
  private:
-  // What one grant promised.
-  struct Promise {
+  // A grant that its holder may still be using.
+  struct OutstandingGrant {
     std::uint64_t number = 0;
     double rate = 0;
     double stock = 0;
@@ -104,50 +109,53 @@
   };
   struct Holder {
     bool is_pool = false;
-    // Those that it may be using, the latest last.
-    std::deque<Promise> promises;
+    // Grants that the holder may be using, the latest last.
+    std::deque<OutstandingGrant> outstanding;
     double wanted_rate = 0;
-    double wanted_stock = 0;
-    // As it said last; nothing: it has not yet.
+    double wanted_reserve = 0;
+    // RateRequest::returned of the last report; nothing before the first one.
     std::optional<double> returned;
 
+    // Maximum over `outstanding`.
     double rate() const;
     double stock() const;
   };
 
-  // What one kind of holders has, or may have.
+  // Rate and reserve of one holder, or of all holders of a kind.
   struct Held {
     double rate = 0;
     double stock = 0;
   };
 
-  // Tokens come in, and promises end.
+  // Adds the tokens that came in until `now`, and drops expired grants.
   void Advance(const UnknownHolders& unknown, MonotonicTime now);
   void Confirm(Holder& holder, const RateRequest& request,
                const UnknownHolders& unknown, MonotonicTime now) const;
-  // All holders of a kind.
+  // Sums over the known holders of a kind: pools or routers.
   Held KnownHeld(bool pools) const;
   Held Wanted(bool pools) const;
-  // Most that all holders of a kind may have together.
-  Held MostOf(bool pools) const;
-  // Most that those of a kind may have that are not known.
+  // Maximum for all holders of a kind together.
+  Held MaximumOf(bool pools) const;
+  // Maximum that the unknown holders of a kind may have.
   Held UnknownHeld(bool pools, const UnknownHolders& unknown) const;
-  // What this holder may have now.
+  // The rate and reserve that the leader can grant to `holder` now.
   Held ShareOf(const Holder& holder, const UnknownHolders& unknown) const;
-  // Tokens that the router came to and did not use go into the bucket.
-  void TakeReturned(Holder& holder, const RateRequest& request);
+  // Puts the tokens that the holder returned into the bucket.
+  void ReclaimReturned(Holder& holder, const RateRequest& request);
   std::uint32_t TakeTokens(std::uint32_t wanted);
   Duration WaitForToken() const;
-  static double WantedStock(const RateRequest& request, double demand);
-  // What all stocks together may hold.
-  double StockLimit() const;
+  static double WantedReserve(const RateRequest& request, double demand);
+  // Maximum number of tokens in all reserves together.
+  double ReserveLimit() const;
+  // Maximum number of tokens in the bucket.
   double Capacity(const UnknownHolders& unknown) const;
 
   RateLimit limit_;
   RateTolerance tolerance_;
   double drift_;
+  // Content of the bucket.
   double tokens_ = 0;
-  // Tokens a second that came into the bucket when it was last looked at.
+  // Tokens a second that came into the bucket at the last Advance.
   double refill_ = 0;
   MonotonicTime advanced_to_;
   std::map<std::string, Holder> holders_;
--- a/source/common/quota/rate_granter.cc
+++ b/source/common/quota/rate_granter.cc
@@ -6,8 +6,8 @@
 namespace juniperway::quota {
 namespace {
 
-// Grants of a term are numbered from its number in the upper half, so that
-// those of a later leader are above those of the ones before it.
+// The upper half of a grant's number is the term, so that a later leader's
+// grants have higher numbers than those of the leaders before.
 constexpr unsigned kTermShift = 32;
 
 }  // namespace
@@ -53,33 +53,35 @@
   }
 }
 
-void RateGranter::NoteProcess(const Sender& sender) {
+void RateGranter::UpdateIncarnation(const Sender& sender) {
   const auto [known, is_new] =
       incarnations_.try_emplace(sender.name, sender.incarnation);
   if (is_new || known->second == sender.incarnation) {
     return;
   }
-  // The process before it is gone, and what it held.
+  // The earlier process has ended, and with it its leases.
   known->second = sender.incarnation;
   for (auto& [key, rate] : rates_) {
-    rate.Forget(sender.name);
+    rate.RemoveHolder(sender.name);
   }
 }
 
-void RateGranter::NoteReported(const Sender& sender, const RateReport& report,
+void RateGranter::MarkReported(const Sender& sender, const RateReport& report,
                                MonotonicTime now) {
-  // Before it was answered in this term it may still take in a grant of an
-  // earlier leader that is not in this report.
-  const bool says_all = sender.term == term_ && report.complete;
+  // Until the sender has an answer of this term, it may still accept a grant of
+  // an earlier leader that is not in this report.
+  const bool reported_all = sender.term == term_ && report.complete;
   auto& unreported = sender.is_pool ? unreported_pools_ : unreported_routers_;
-  if (says_all && unreported.erase(sender.name) > 0 && !Unknown(now).any()) {
+  if (reported_all && unreported.erase(sender.name) > 0 &&
+      !Unknown(now).any()) {
     known_since_ = std::min(known_since_, now);
   }
 }
 
 FleetRate& RateGranter::RateOf(const std::string& key, const RateLimit& limit,
                                MonotonicTime now) {
-  // Nothing was granted of it since all holders are known: its tokens came in.
+  // No token of this key was granted since all holders are known, so the bucket
+  // has filled since then.
   const MonotonicTime since = std::min(known_since_, now);
   return rates_.try_emplace(key, limit, tolerance_, drift_, since)
       .first->second;
@@ -88,8 +90,8 @@
 std::vector<RateGrant> RateGranter::OnReport(const Sender& sender,
                                              const RateReport& report,
                                              MonotonicTime now) {
-  NoteProcess(sender);
-  NoteReported(sender, report, now);
+  UpdateIncarnation(sender);
+  MarkReported(sender, report, now);
   std::vector<RateGrant> grants;
   for (const RateRequest& request : report.requests) {
     const auto limit = limits_.find(request.key);
@@ -98,7 +100,7 @@
     }
   }
   if (sender.is_pool) {
-    AddUnaskedGrants(sender, report, grants, now);
+    AddUnrequestedGrants(sender, report, grants, now);
   }
   return grants;
 }
@@ -109,20 +111,20 @@
       .Grant(sender.name, request, ++grants_, Unknown(now), now);
 }
 
-void RateGranter::AddUnaskedGrants(const Sender& sender,
-                                   const RateReport& report,
-                                   std::vector<RateGrant>& grants,
-                                   MonotonicTime now) {
-  std::set<std::string> asked;
+void RateGranter::AddUnrequestedGrants(const Sender& sender,
+                                       const RateReport& report,
+                                       std::vector<RateGrant>& grants,
+                                       MonotonicTime now) {
+  std::set<std::string> requested_keys;
   for (const RateRequest& request : report.requests) {
-    asked.insert(request.key);
+    requested_keys.insert(request.key);
   }
   for (const auto& [key, limit] : limits_) {
-    if (!asked.contains(key)) {
+    if (!requested_keys.contains(key)) {
       const RateRequest request{
           .key = key,
           .is_pool = true,
-          .room = static_cast<std::uint32_t>(FleetRate::kPoolStock)};
+          .room = static_cast<std::uint32_t>(FleetRate::kPoolBaseReserve)};
       grants.push_back(Grant(sender, request, limit, now));
     }
   }
--- a/source/common/quota/rate_granter.h
+++ b/source/common/quota/rate_granter.h
@@ -1,8 +1,8 @@
-// The leader's side of leased rates, for all keys: who reported under this
-// leader, and a FleetRate a key. Nothing of it is replicated: a lease ends
-// before its router can be out of the membership, so that a new leader knows
-// all of them once every member has reported, or after one lease time. Pure:
-// time is an argument.
+// The leader's side of leased rates, for all keys: which holders have reported
+// to this leader, and a FleetRate for each key. This state is not replicated. A
+// lease expires before its router can be removed from the membership, so a new
+// leader knows all leases once every member has reported, or after one lease
+// time. No I/O: time is an argument.
 #pragma once
 
 #include <cstddef>
@@ -19,48 +19,54 @@
 
 namespace juniperway::quota {
 
+// Limits by key; a key is the name of a tenant.
 using RateLimits = std::map<std::string, RateLimit>;
 
+// Grants rates and tokens of all keys. The leader role of each control node
+// owns one; it is in use only while the node leads.
 class RateGranter {
  public:
   RateGranter(const RateTolerance& tolerance, double maximum_clock_drift)
       : tolerance_(tolerance), drift_(maximum_clock_drift) {}
 
-  // This machine leads in `term`; earlier leaders may have granted until now.
-  // @param routers that are members.
-  // @param pools of control machines.
+  // This control node leads in `term`. Earlier leaders may have sent grants
+  // until `now`.
+  // @param routers names of the routers in the membership.
+  // @param pools names of the control nodes' pools.
   void Start(std::uint64_t term, std::set<std::string> routers,
              std::set<std::string> pools, MonotonicTime now);
-  // It no longer leads: everything is forgotten.
+  // This control node no longer leads: drops what it knows about holders.
   void Stop();
 
-  // Replaces all limits. A key without one is not granted anything.
+  // Replaces all limits. A key without a limit gets no grants.
   void SetLimits(RateLimits limits, MonotonicTime now);
 
+  // The holder that sent a report.
   struct Sender {
     std::string name;
-    // Changes with each start of its process.
+    // Changes with each start of the holder's process.
     std::uint64_t incarnation = 0;
-    // Of the leader that answered it last.
+    // Term of the leader that last answered the holder.
     std::uint64_t term = 0;
     bool is_pool = false;
   };
-  // Only while it leads for certain, and only of members. A pool is granted a
-  // stock of all keys, so that the first request of each finds a token near.
+  // The caller makes sure that this control node still leads and that the
+  // sender is a member. A pool gets a reserve of every key, so that the first
+  // request of each key finds a token nearby.
   std::vector<RateGrant> OnReport(const Sender& sender,
                                   const RateReport& report, MonotonicTime now);
 
-  // Holders that this leader has not heard of.
+  // Holders that have not reported to this leader yet.
   UnknownHolders Unknown(MonotonicTime now) const;
   std::size_t keys() const { return rates_.size(); }
 
  private:
-  void NoteProcess(const Sender& sender);
-  void NoteReported(const Sender& sender, const RateReport& report,
+  void UpdateIncarnation(const Sender& sender);
+  void MarkReported(const Sender& sender, const RateReport& report,
                     MonotonicTime now);
-  // Stocks of keys that a pool did not ask for.
-  void AddUnaskedGrants(const Sender& sender, const RateReport& report,
-                        std::vector<RateGrant>& grants, MonotonicTime now);
+  // Adds grants of the keys that a pool did not request.
+  void AddUnrequestedGrants(const Sender& sender, const RateReport& report,
+                            std::vector<RateGrant>& grants, MonotonicTime now);
   RateGrant Grant(const Sender& sender, const RateRequest& request,
                   const RateLimit& limit, MonotonicTime now);
   FleetRate& RateOf(const std::string& key, const RateLimit& limit,
@@ -72,14 +78,14 @@
   std::uint64_t grants_ = 0;
   RateLimits limits_;
   std::map<std::string, FleetRate> rates_;
-  // By holder.
+  // Incarnations by the name of the holder.
   std::map<std::string, std::uint64_t> incarnations_;
-  // Holders that have not reported all their leases under this leader.
+  // Holders that have not reported all their leases to this leader.
   std::set<std::string> unreported_routers_;
   std::set<std::string> unreported_pools_;
-  // What earlier leaders leased has ended by then.
+  // When all leases of earlier leaders have expired.
   MonotonicTime assumed_until_ = MonotonicTime::min();
-  // All holders have been known since.
+  // Since when this leader knows all holders.
   MonotonicTime known_since_ = MonotonicTime::max();
 };
 
--- a/source/common/quota/rate_leases.cc
+++ b/source/common/quota/rate_leases.cc
@@ -11,8 +11,8 @@
 void RateLeases::Advance(Entry& entry, MonotonicTime now) {
   const MonotonicTime until = std::min(now, entry.end);
   if (until > entry.advanced_to) {
-    const double grown = entry.rate * ToSeconds(until - entry.advanced_to);
-    KeepTokens(entry, entry.tokens + grown);
+    const double added = entry.rate * ToSeconds(until - entry.advanced_to);
+    KeepTokens(entry, entry.tokens + added);
   }
   entry.advanced_to = std::max(entry.advanced_to, now);
   if (now >= entry.end) {
@@ -27,19 +27,19 @@
   entry.returned += tokens - entry.tokens;
 }
 
-void RateLeases::FadeDemand(Entry& entry, MonotonicTime now) {
-  const Duration passed = now - entry.requests_at;
-  entry.requests *= std::exp(-ToSeconds(passed) / ToSeconds(kDemandMemory));
-  entry.requests_at = now;
+void RateLeases::DecayDemand(Entry& entry, MonotonicTime now) {
+  const Duration passed = now - entry.demand_updated_at;
+  entry.requests *= std::exp(-ToSeconds(passed) / ToSeconds(kDemandDecayTime));
+  entry.demand_updated_at = now;
 }
 
 double RateLeases::DemandOf(const Entry& entry) {
-  return entry.requests / ToSeconds(kDemandMemory);
+  return entry.requests / ToSeconds(kDemandDecayTime);
 }
 
 void RateLeases::OnDemand(const std::string& key, MonotonicTime now) {
   Entry& entry = entries_[key];
-  FadeDemand(entry, now);
+  DecayDemand(entry, now);
   entry.requests += 1;
 }
 
@@ -77,7 +77,7 @@
 
 bool RateLeases::IsReported(const Entry& entry, MonotonicTime now) const {
   return options_.is_pool || entry.waiting > 0 || now < entry.end ||
-         DemandOf(entry) >= FleetRate::kLeastStockDemand;
+         DemandOf(entry) >= FleetRate::kMinimumReserveDemand;
 }
 
 RateRequest RateLeases::MakeRequest(const std::string& key, Entry& entry,
@@ -91,30 +91,31 @@
     request.held_stock = entry.stock;
     request.held_left = entry.end - now;
   }
-  // A lease that is not needed any more is given back so.
+  // With a demand of zero, the leader releases the lease.
   const double demand = DemandOf(entry);
-  request.demand = demand < options_.least_demand ? 0 : demand;
-  // An answer that is not there by then is not taken in any more.
-  std::erase_if(entry.asked, [now](const Asked& asked) {
-    return now - asked.at > kLongestGrantAge;
+  request.demand = demand < options_.minimum_demand ? 0 : demand;
+  // An answer that comes later than this is ignored.
+  std::erase_if(entry.unanswered, [now](const TokenRequest& unanswered) {
+    return now - unanswered.at > kLongestGrantAge;
   });
-  std::uint32_t asked_waiting = 0;
-  std::uint32_t asked_room = 0;
-  for (const Asked& asked : entry.asked) {
-    asked_waiting += asked.waiting;
-    asked_room += asked.room;
-  }
-  request.waiting = entry.waiting - std::min(entry.waiting, asked_waiting);
-  // A stock that is not known yet is taken for one token; the leader bounds it.
+  std::uint32_t requested_waiting = 0;
+  std::uint32_t requested_reserve = 0;
+  for (const TokenRequest& unanswered : entry.unanswered) {
+    requested_waiting += unanswered.waiting;
+    requested_reserve += unanswered.room;
+  }
+  request.waiting = entry.waiting - std::min(entry.waiting, requested_waiting);
+  // Without a lease, the reserve is assumed to be one token; the leader bounds
+  // it.
   const bool has_stock = now < entry.end && entry.stock > 0;
   const double stock = has_stock ? entry.stock : 1;
   const double room = std::floor(std::max(0.0, stock - entry.tokens));
-  if (request.demand > 0 && room > asked_room) {
-    request.room = static_cast<std::uint32_t>(room) - asked_room;
+  if (request.demand > 0 && room > requested_reserve) {
+    request.room = static_cast<std::uint32_t>(room) - requested_reserve;
   }
   request.returned = entry.returned;
   if (request.waiting > 0 || request.room > 0) {
-    entry.asked.push_back({now, request.waiting, request.room});
+    entry.unanswered.push_back({now, request.waiting, request.room});
   }
   return request;
 }
@@ -122,11 +123,11 @@
 RateReport RateLeases::MakeReport(MonotonicTime now) {
   for (auto& [key, entry] : entries_) {
     Advance(entry, now);
-    FadeDemand(entry, now);
+    DecayDemand(entry, now);
   }
-  ForgetIdle(now);
+  RemoveIdle(now);
   RateReport report;
-  // What waits first, then the leases that end first.
+  // Keys with queued requests come first, then the leases that expire first.
   std::vector<std::pair<std::pair<bool, MonotonicTime>, const std::string*>>
       order;
   for (const auto& [key, entry] : entries_) {
@@ -146,22 +147,23 @@
   return report;
 }
 
-void RateLeases::ForgetIdle(MonotonicTime now) {
+void RateLeases::RemoveIdle(MonotonicTime now) {
   std::erase_if(entries_, [this, now](const auto& item) {
     const Entry& entry = item.second;
     return entry.waiting == 0 && now >= entry.end &&
-           DemandOf(entry) < options_.least_demand;
+           DemandOf(entry) < options_.minimum_demand;
   });
 }
 
 std::uint32_t RateLeases::OnGrant(const RateGrant& grant, std::uint64_t term,
-                                  MonotonicTime asked_at, MonotonicTime now) {
-  const bool is_of_pool = grant.number == 0;
-  if (term < term_ && !is_of_pool) {
+                                  MonotonicTime requested_at,
+                                  MonotonicTime now) {
+  const bool is_from_pool = grant.number == 0;
+  if (term < term_ && !is_from_pool) {
     return 0;
   }
   if (options_.is_pool) {
-    // A pool is granted keys that it has not asked for yet.
+    // A pool also gets grants of keys that it has not requested.
     entries_.try_emplace(grant.key);
   }
   const auto found = entries_.find(grant.key);
@@ -171,23 +173,24 @@
   term_ = std::max(term_, term);
   Entry& entry = found->second;
   Advance(entry, now);
-  if (is_of_pool) {
+  if (is_from_pool) {
     return UseTokens(entry,
-                     now - asked_at > kLongestGrantAge ? 0 : grant.tokens);
+                     now - requested_at > kLongestGrantAge ? 0 : grant.tokens);
   }
-  std::erase_if(entry.asked, [asked_at](const Asked& asked) {
-    return asked.at <= asked_at;
-  });
-  if (grant.number <= entry.grant || now - asked_at > kLongestGrantAge) {
+  std::erase_if(entry.unanswered,
+                [requested_at](const TokenRequest& unanswered) {
+                  return unanswered.at <= requested_at;
+                });
+  if (grant.number <= entry.grant || now - requested_at > kLongestGrantAge) {
     entry.returned += grant.tokens;
     return 0;
   }
   entry.grant = grant.number;
   entry.rate = grant.rate;
   entry.stock = grant.stock;
-  entry.asked_at = asked_at;
+  entry.requested_at = requested_at;
   const bool is_empty = grant.rate <= 0 && grant.stock <= 0;
-  entry.end = is_empty ? MonotonicTime::min() : asked_at + grant.lease;
+  entry.end = is_empty ? MonotonicTime::min() : requested_at + grant.lease;
   if (grant.wait > Duration(0)) {
     entry.exhausted_until = now + grant.wait;
   }
@@ -213,7 +216,7 @@
   return {.grant = entry.grant,
           .rate = entry.rate,
           .tokens = entry.tokens,
-          .age = now - entry.asked_at};
+          .age = now - entry.requested_at};
 }
 
 }  // namespace juniperway::quota
--- a/source/common/quota/rate_leases.h
+++ b/source/common/quota/rate_leases.h
@@ -1,6 +1,6 @@
-// A holder's side of leased rates: the tokens that it may use by itself, what
-// it asks the leader for, and what came back. Holders are routers, and pools of
-// control machines. Pure: time is an argument.
+// A holder's side of leased rates: the tokens that the holder may use without
+// the leader, its requests to the leader, and the leader's grants. Holders are
+// routers and pools of control nodes. No I/O: time is an argument.
 #pragma once
 
 #include <cstddef>
@@ -15,62 +15,71 @@
 
 namespace juniperway::quota {
 
-// How a holder keeps keys.
+// Which keys a holder keeps and reports.
 struct HolderOptions {
   bool is_pool = false;
-  // Keys in one report. One takes about 60 bytes in a heartbeat: 4 KB a second
-  // of a router, a fifth of what control may cost a daemon (21 KB/s).
+  // Maximum number of keys in one report. One takes about 60 bytes in a
+  // heartbeat, so a router sends 4 KB/s: a fifth of the bandwidth that control
+  // traffic may take on a daemon (21 KB/s).
   std::size_t maximum_requests = 64;
-  // A key with less demand, requests a second, is let go of. Of a router: one
-  // request in twelve seconds. A pool keeps a key for a minute after its last
-  // request: it is near many routers, and few come often.
-  double least_demand = 0.02;
+  // A holder releases a key with less demand, in requests a second. A router
+  // releases a key about twelve seconds after its last single request. A pool
+  // keeps a key for about a minute, because it serves many routers, each of
+  // which requests a key rarely.
+  double minimum_demand = 0.02;
 };
 inline constexpr HolderOptions kPoolOptions{
-    .is_pool = true, .maximum_requests = 512, .least_demand = 1e-6};
+    .is_pool = true, .maximum_requests = 512, .minimum_demand = 1e-6};
 
+// The leases of one holder, for all keys. A router owns one for its tenants, a
+// control node owns one for its pool. Rates are in tokens a second; a request
+// takes one token.
 class RateLeases {
  public:
   explicit RateLeases(const HolderOptions& options = {}) : options_(options) {}
 
-  // Demand fades to 1 / e in this time.
-  static constexpr Duration kDemandMemory = seconds(5);
+  // Time constant of the exponential decay of the demand.
+  static constexpr Duration kDemandDecayTime = seconds(5);
   // A request of the key came.
   void OnDemand(const std::string& key, MonotonicTime now);
-  // @return true when a token was there; it is taken.
+  // Takes a token if there is one.
+  // @return whether a token was taken.
   bool TryTake(const std::string& key, MonotonicTime now);
-  // The request that took a token was not sent to anybody, and never will be.
+  // Releases the token of a request that was not sent and will not be sent.
   void GiveBack(const std::string& key, MonotonicTime now);
-  // Requests that wait for a token of the key.
+  // Sets the number of requests that are queued for a token of the key.
   void SetWaiting(const std::string& key, std::uint32_t waiting);
 
-  // Tokens of the key run low: the leader should be asked soon.
+  // True if requests are queued for the key or less than one token remains, so
+  // that the holder should send a report soon.
   bool NeedsTokens(const std::string& key, MonotonicTime now);
-  // The limit is used up over the whole fleet until then; min(): not known so.
+  // Time until which the fleet has no token of the key, as the leader announced
+  // it; min() if the leader announced none.
   MonotonicTime ExhaustedUntil(const std::string& key) const;
 
   RateReport MakeReport(MonotonicTime now);
-  // @param term of the leader that granted it.
-  // One that comes kLongestGrantAge after its report or later is not taken in.
-  // @param asked_at when the report that it answers was made.
-  // @return tokens for requests that wait: they are taken.
-  // Grants of pools (number 0) bring tokens only.
+  // Applies a grant. Ignores a lease, and returns its tokens to the leader, if
+  // the grant arrives more than kLongestGrantAge after the report. Grants of
+  // pools (number 0) have tokens and no lease.
+  // @param term of the leader that made the grant.
+  // @param requested_at when the report was made that the grant answers.
+  // @return number of queued requests that get a token now.
   std::uint32_t OnGrant(const RateGrant& grant, std::uint64_t term,
-                        MonotonicTime asked_at, MonotonicTime now);
+                        MonotonicTime requested_at, MonotonicTime now);
 
-  // For the log: what is known of a key.
+  // State of the lease of one key, for the log.
   struct Insight {
     std::uint64_t grant = 0;
     double rate = 0;
     double tokens = 0;
-    // Since the grant was asked for; zero: there is none.
+    // Time since the holder requested the grant; zero if there is no grant.
     Duration age{};
   };
   Insight Describe(const std::string& key, MonotonicTime now);
 
  private:
-  // Tokens asked for in a report that is not answered yet.
-  struct Asked {
+  // Tokens requested in a report that has not been answered yet.
+  struct TokenRequest {
     MonotonicTime at;
     std::uint32_t waiting = 0;
     std::uint32_t room = 0;
@@ -80,39 +89,41 @@
     double rate = 0;
     double stock = 0;
     double tokens = 0;
-    MonotonicTime asked_at;
+    MonotonicTime requested_at;
     MonotonicTime end = MonotonicTime::min();
     MonotonicTime advanced_to;
-    // Requests within kDemandMemory, the older ones counted less.
+    // Number of requests, decaying exponentially with kDemandDecayTime.
     double requests = 0;
-    MonotonicTime requests_at;
+    MonotonicTime demand_updated_at;
     std::uint32_t waiting = 0;
-    // The oldest first.
-    std::deque<Asked> asked;
-    // See RateRequest.
+    // Unanswered requests for tokens, the oldest first.
+    std::deque<TokenRequest> unanswered;
+    // See RateRequest::returned.
     double returned = 0;
     MonotonicTime exhausted_until = MonotonicTime::min();
   };
 
-  // Brings the tokens up to `now`.
+  // Adds the tokens of the leased rate until `now`, and ends an expired lease.
   static void Advance(Entry& entry, MonotonicTime now);
-  static void FadeDemand(Entry& entry, MonotonicTime now);
+  static void DecayDemand(Entry& entry, MonotonicTime now);
   static double DemandOf(const Entry& entry);
-  // Tokens for what waits, the rest into the stock.
-  // @return how many were used.
+  // Gives tokens to the queued requests and puts the rest into the reserve.
+  // @return number of tokens that queued requests got.
   static std::uint32_t UseTokens(Entry& entry, std::uint32_t granted);
-  // Keeps what fits into the stock, and returns the rest.
+  // Keeps the tokens that fit into the reserve, and returns the rest to the
+  // leader.
   static void KeepTokens(Entry& entry, double tokens);
   RateRequest MakeRequest(const std::string& key, Entry& entry,
                           MonotonicTime now) const;
-  // Whether the leader has to hear of the key.
+  // Whether the holder reports the key to the leader.
   bool IsReported(const Entry& entry, MonotonicTime now) const;
-  // Of keys whose demand has been brought up to `now`.
-  void ForgetIdle(MonotonicTime now);
+  // Removes keys without a lease, queued requests or demand. The demand of all
+  // keys must have been decayed to `now`.
+  void RemoveIdle(MonotonicTime now);
 
   HolderOptions options_;
   std::map<std::string, Entry> entries_;
-  // Highest term that a grant came from; older ones are not taken in.
+  // Maximum term of the grants so far; grants of earlier terms are ignored.
   std::uint64_t term_ = 0;
 };
 
--- a/source/common/quota/rate_messages.h
+++ b/source/common/quota/rate_messages.h
@@ -1,6 +1,5 @@
-// What holders of leased rates, routers and pools, and the leader of the
-// control machines tell each other. It travels in heartbeats and the answers to
-// them.
+// Messages between the holders of leased rates (routers and pools) and the
+// leader of the control nodes. They are sent in heartbeats and their answers.
 #pragma once
 
 #include <cstdint>
@@ -11,54 +10,58 @@
 
 namespace juniperway::quota {
 
-// What a holder says of one key (a tenant).
+// A holder's state and request for one key (a tenant).
 struct RateRequest {
   std::string key;
-  // A control machine that hands tokens on to the routers near it.
+  // The holder is a control node's pool, which passes tokens on to the routers
+  // near it.
   bool is_pool = false;
-  // Number of the last grant that it has taken in; 0: none.
+  // Number of the last grant that the holder accepted; 0: none.
   std::uint64_t held_grant = 0;
-  // What that grant lets the holder do still: a new leader learns of it so.
+  // Leased rate, maximum reserve and remaining lease time of that grant, for a
+  // leader that did not make the grant.
   double held_rate = 0;
   double held_stock = 0;
   Duration held_left{};
-  // Requests a second that it was asked for of late, refused ones among them.
+  // Recent requests a second at the holder, refused ones included.
   double demand = 0;
-  // Requests that wait for a token, without those for which one was asked in a
-  // report that is not answered yet.
+  // Requests queued for a token, without those for which an unanswered report
+  // has requested one.
   std::uint32_t waiting = 0;
-  // Tokens that are missing in its stock, and were not asked for yet.
+  // Tokens that fit into the holder's reserve and that no unanswered report has
+  // requested.
   std::uint32_t room = 0;
-  // Tokens that came to it since its process started and that it neither used
-  // nor keeps: the leader hands them out anew.
+  // Tokens that the holder got since its process started and neither used nor
+  // kept. The leader grants them again.
   double returned = 0;
 };
 
-// All that a holder says in one heartbeat.
+// Everything that a holder reports in one heartbeat.
 struct RateReport {
   std::vector<RateRequest> requests;
-  // Every lease that it holds is among them.
+  // `requests` has every lease that the holder has.
   bool complete = true;
 };
 
-// Term of grants that no leader makes.
+// Term of grants that a pool makes without the leader.
 inline constexpr std::uint64_t kAnyTerm = 0;
 
-// The leader's answer on one key. Takes the place of the grant before it.
+// The leader's answer for one key. It replaces the grant before it.
 struct RateGrant {
   std::string key;
-  // Grows with each grant, over all leaders. 0: tokens of a pool, which leave
-  // the lease as it is.
+  // Increases with each grant, over all leaders. 0: tokens of a pool, which do
+  // not change the lease.
   std::uint64_t number = 0;
-  // Tokens a second that the router's stock grows by, while the lease lasts.
+  // Tokens a second that the holder's reserve gains while the lease lasts.
   double rate = 0;
-  // Most tokens that the router may keep.
+  // Maximum number of tokens that the holder may have in reserve.
   double stock = 0;
-  // Counted from when the router asked.
+  // Counted from the time of the holder's report.
   Duration lease{};
-  // Tokens to be used at once: by what waits, the rest goes into the stock.
+  // Tokens for the queued requests; the rest goes into the reserve.
   std::uint32_t tokens = 0;
-  // Some of what waits gets no token: the fleet's limit is used up for so long.
+  // Above zero if some queued requests get no token: time until the fleet has
+  // the next token of the limit.
   Duration wait{};
 };
 
--- a/test/property/quota/quota_test.cc
+++ b/test/property/quota/quota_test.cc
@@ -1,5 +1,5 @@
-// A fleet of routers keeps its tenants' limits together, whatever fails, and
-// refuses hardly anybody who is within one. By hand:
+// A fleet of routers never exceeds its tenants' limits, whatever fails, and
+// refuses few requests within a limit. For longer runs set
 // JUNIPERWAY_QUOTA_SEEDS=1000 JUNIPERWAY_QUOTA_ROUTERS=300.
 #include <doctest/doctest.h>
 
@@ -23,54 +23,54 @@
     CAPTURE(seed);
     const QuotaReport report =
         QuotaWorld({.seed = seed, .routers = routers}).Run();
-    CHECK(report.worst_use <= 1);
-    total.worst_use = std::max(total.worst_use, report.worst_use);
+    CHECK(report.maximum_use <= 1);
+    total.maximum_use = std::max(total.maximum_use, report.maximum_use);
     total.requests += report.requests;
     total.admitted += report.admitted;
     total.within += report.within;
-    total.short_of += report.short_of;
+    total.refused_within += report.refused_within;
     total.leaders += report.leaders;
     total.heartbeats += report.heartbeats;
   }
   MESSAGE("requests " << total.requests << ", admitted " << total.admitted
                       << ", within limits " << total.within
-                      << ", short of these " << total.short_of << ", leaders "
-                      << total.leaders << ", heartbeats " << total.heartbeats
-                      << ", worst use " << total.worst_use);
+                      << ", short of these " << total.refused_within
+                      << ", leaders " << total.leaders << ", heartbeats "
+                      << total.heartbeats << ", worst use "
+                      << total.maximum_use);
   CHECK(total.leaders > seeds);
 }
 
-// Share of the requests within a limit that were not admitted, over some seeds.
-double ShortShare(QuotaTrouble trouble) {
+// Share of the requests within a limit that were not admitted, over all seeds.
+double RefusedShare(QuotaFault fault) {
   const std::uint64_t seeds = FromEnvironment("JUNIPERWAY_QUOTA_SEEDS", 20);
   std::size_t within = 0;
-  std::size_t short_of = 0;
+  std::size_t refused_within = 0;
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-    const QuotaReport report =
-        QuotaWorld({.seed = seed, .trouble = trouble}).Run();
-    CHECK(report.worst_use <= 1);
+    const QuotaReport report = QuotaWorld({.seed = seed, .fault = fault}).Run();
+    CHECK(report.maximum_use <= 1);
     within += report.within;
-    short_of += report.short_of;
+    refused_within += report.refused_within;
   }
-  MESSAGE("within limits " << within << ", short of these " << short_of);
-  return static_cast<double>(short_of) / static_cast<double>(within);
+  MESSAGE("within limits " << within << ", short of these " << refused_within);
+  return static_cast<double>(refused_within) / static_cast<double>(within);
 }
 
-TEST_CASE("on a calm day hardly a request within a limit is refused") {
-  CHECK(ShortShare(QuotaTrouble::kNone) < 0.005);
+TEST_CASE("without faults few requests within a limit are refused") {
+  CHECK(RefusedShare(QuotaFault::kNone) < 0.005);
 }
 
-TEST_CASE("a leader that is lost costs little") {
-  CHECK(ShortShare(QuotaTrouble::kLeaderLost) < 0.05);
+TEST_CASE("after a leader crash few requests within a limit are refused") {
+  CHECK(RefusedShare(QuotaFault::kLeaderCrash) < 0.05);
 }
 
-TEST_CASE("routers that are cut off cost no others") {
-  CHECK(ShortShare(QuotaTrouble::kRoutersCut) < 0.1);
+TEST_CASE("partitioned routers do not cause refusals at other routers") {
+  CHECK(RefusedShare(QuotaFault::kRoutersPartitioned) < 0.1);
 }
 
-// Few routers and large tenants, so that each router has enough demand to hold
-// leases itself, and the slack is small beside the limits.
-// @return the first seed that shows it; 0: none.
+// Uses few routers and large tenants, so that each router has enough demand for
+// leases of its own, and the slack is small compared with the limits.
+// @return the first seed that shows the defect; 0: none.
 std::uint64_t FindDefect(QuotaDefect defect) {
   constexpr std::uint64_t kSeeds = 6;
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
@@ -78,21 +78,21 @@
                                .routers = 12,
                                .length = seconds(36),
                                .tenants = 3,
-                               .largest = 150,
+                               .largest_rate = 150,
                                .defect = defect,
-                               .trouble = QuotaTrouble::kHotAndCut};
-    if (QuotaWorld(options).Run().worst_use > 1) {
+                               .fault = QuotaFault::kOverloadAndPartition};
+    if (QuotaWorld(options).Run().maximum_use > 1) {
       return seed;
     }
   }
   return 0;
 }
 
-TEST_CASE("planted defects are found") {
+TEST_CASE("the test detects planted defects") {
   CHECK(FindDefect(QuotaDefect::kNone) == 0);
-  CHECK(FindDefect(QuotaDefect::kForgetfulLeader) > 0);
-  CHECK(FindDefect(QuotaDefect::kEndlessLeases) > 0);
-  CHECK(FindDefect(QuotaDefect::kEagerReuse) > 0);
+  CHECK(FindDefect(QuotaDefect::kLeaderIgnoresLeases) > 0);
+  CHECK(FindDefect(QuotaDefect::kLeasesDoNotExpire) > 0);
+  CHECK(FindDefect(QuotaDefect::kEarlyLeaseReuse) > 0);
 }
 
 }  // namespace
--- a/test/property/quota/quota_world.cc
+++ b/test/property/quota/quota_world.cc
@@ -12,18 +12,19 @@
 constexpr quota::RateTolerance kTolerance{
     .window = seconds(5), .overage = 0.1, .slack = 20};
 constexpr double kDrift = 0.01;
-constexpr Duration kBeat = seconds(1);
+constexpr Duration kHeartbeatInterval = seconds(1);
 // How long a request waits for a token.
-constexpr Duration kLongestAsk = milliseconds(200);
-// A router that no leader answered for this long is no member any more.
-constexpr Duration kMembership = seconds(6);
+constexpr Duration kTokenTimeout = milliseconds(200);
+// A router that no leader has answered for this long is no longer a member.
+constexpr Duration kMembershipTimeout = seconds(6);
 constexpr std::size_t kPools = 6;
-// Control machines are cut off more rarely than routers.
-constexpr double kPoolCutShare = 0.9;
-constexpr Duration kPoolBeat = milliseconds(50);
-// The longest ways: within a zone, and between regions.
-constexpr Duration kNearWay = milliseconds(1);
-constexpr Duration kFarWay = milliseconds(14);
+// Probability that a control node is partitioned, as a share of a router's.
+constexpr double kPoolPartitionShare = 0.9;
+constexpr Duration kPoolReportInterval = milliseconds(50);
+// Maximum one-one_way_delay delays of messages within a zone and between
+// regions.
+constexpr Duration kMaximumZoneDelay = milliseconds(1);
+constexpr Duration kMaximumRegionDelay = milliseconds(14);
 
 }  // namespace
 
@@ -41,34 +42,36 @@
       granter_(kTolerance, kDrift) {
   for (std::size_t i = 0; i < routers_.size(); ++i) {
     routers_[i].name = "r" + std::to_string(i);
-    At(now_ + FromSeconds(Draw(0, 1)), [this, i] { Beat(i); });
+    At(now_ + FromSeconds(Draw(0, 1)), [this, i] { HeartbeatTick(i); });
   }
   for (std::size_t i = 0; i < pools_.size(); ++i) {
     RestartPool(pools_[i], i);
-    At(now_ + FromSeconds(Draw(0, 1)), [this, i] { BeatPool(i); });
+    At(now_ + FromSeconds(Draw(0, 1)), [this, i] { PoolTick(i); });
   }
   MakeTenants();
   StartLeader();
   const MonotonicTime once = now_ + seconds(15);
-  switch (options_.trouble) {
-    case QuotaTrouble::kNone:
+  switch (options_.fault) {
+    case QuotaFault::kNone:
       break;
-    case QuotaTrouble::kLeaderLost:
-      At(once, [this] { LoseLeader(seconds(1)); });
+    case QuotaFault::kLeaderCrash:
+      At(once, [this] { CrashLeader(seconds(1)); });
       break;
-    case QuotaTrouble::kRoutersCut:
-      At(once, [this] { CutRouters(1.0 / 3, now_ + seconds(10)); });
+    case QuotaFault::kRoutersPartitioned:
+      At(once, [this] { PartitionRouters(1.0 / 3, now_ + seconds(10)); });
       break;
-    case QuotaTrouble::kHotAndCut:
+    case QuotaFault::kOverloadAndPartition:
       for (Tenant& tenant : tenants_) {
-        HeatTenant(tenant, seconds(40), 4);
+        OverloadTenant(tenant, seconds(40), 4);
       }
-      At(once, [this] { CutRouters(0.5, now_ + seconds(9)); });
-      At(once + seconds(12), [this] { CutRouters(0.5, now_ + seconds(9)); });
-      At(once + milliseconds(12300), [this] { LoseLeader(milliseconds(300)); });
+      At(once, [this] { PartitionRouters(0.5, now_ + seconds(9)); });
+      At(once + seconds(12),
+         [this] { PartitionRouters(0.5, now_ + seconds(9)); });
+      At(once + milliseconds(12300),
+         [this] { CrashLeader(milliseconds(300)); });
       break;
-    case QuotaTrouble::kAll:
-      ScheduleTrouble();
+    case QuotaFault::kAll:
+      ScheduleFault();
       break;
   }
 }
@@ -87,32 +90,34 @@
 }
 
 bool QuotaWorld::IsRunning(const Router& router) const {
-  return now_ >= router.frozen_until && now_ >= router.down_until;
+  return now_ >= router.paused_until && now_ >= router.down_until;
 }
 
 // --- Tenants and their requests ----------------------------------------------
 
-// A few large tenants and many small ones, within their limits as they usually
-// are; clients keep to a few routers each.
+// Makes a few large tenants and many small ones. Their typical rates are within
+// their limits. Each client uses one router.
 void QuotaWorld::MakeTenants() {
   tenants_.resize(options_.tenants);
   for (std::size_t i = 0; i < tenants_.size(); ++i) {
     Tenant& tenant = tenants_[i];
     tenant.name = "t" + std::to_string(i);
-    tenant.usual = options_.largest / std::pow(static_cast<double>(i) + 1, 1.2);
-    tenant.limit.per_second = std::max(1.0, std::round(1.6 * tenant.usual));
-    // Small bursts leave less room for what should not be.
+    tenant.typical_rate =
+        options_.largest_rate / std::pow(static_cast<double>(i) + 1, 1.2);
+    tenant.limit.per_second =
+        std::max(1.0, std::round(1.6 * tenant.typical_rate));
+    // With small bursts, excess requests exceed the allowed number sooner.
     tenant.limit.burst =
         std::max(1.0, tenant.limit.per_second / (i % 2 == 0 ? 8 : 1));
     tenant.reference = tenant.limit.burst;
     tenant.reference_at = now_;
-    const auto clients = static_cast<std::size_t>(1 + tenant.usual);
+    const auto clients = static_cast<std::size_t>(1 + tenant.typical_rate);
     for (std::size_t client = 0; client < clients; ++client) {
-      tenant.homes.push_back(DrawRouter());
+      tenant.client_routers.push_back(DrawRouter());
     }
   }
   for (Tenant& tenant : tenants_) {
-    // After the time in which the fleet starts.
+    // Requests begin after the fleet has started.
     At(now_ + seconds(7), [this, &tenant] { ScheduleArrival(tenant); });
   }
 }
@@ -123,7 +128,7 @@
 
 void QuotaWorld::ScheduleArrival(Tenant& tenant) {
   const double factor = now_ < tenant.hot_until ? tenant.hot_factor : 1;
-  std::exponential_distribution<double> gap(tenant.usual * factor);
+  std::exponential_distribution<double> gap(tenant.typical_rate * factor);
   At(now_ + FromSeconds(gap(random_)), [this, &tenant] {
     Arrive(tenant);
     ScheduleArrival(tenant);
@@ -143,9 +148,10 @@
 }
 
 void QuotaWorld::Arrive(Tenant& tenant) {
-  std::size_t index = tenant.homes[std::uniform_int_distribution<std::size_t>(
-      0, tenant.homes.size() - 1)(random_)];
-  // A retry, or a client whose router is not there.
+  std::size_t index =
+      tenant.client_routers[std::uniform_int_distribution<std::size_t>(
+          0, tenant.client_routers.size() - 1)(random_)];
+  // A retry, or a client whose router is down or paused.
   if (Chance(0.05) || !IsRunning(routers_[index])) {
     index = DrawRouter();
   }
@@ -162,9 +168,9 @@
     if (leases.NeedsTokens(tenant.name, now_)) {
       SendHeartbeat(index);
     }
-    Use(index, tenant);
+    RecordSent(index, tenant);
   } else if (now_ >= leases.ExhaustedUntil(tenant.name)) {
-    Ask(index, tenant);
+    RequestToken(index, tenant);
   }
 }
 
@@ -172,7 +178,7 @@
   return tenant.spans[now_.time_since_epoch() / kTolerance.window];
 }
 
-void QuotaWorld::Ask(std::size_t index, Tenant& tenant) {
+void QuotaWorld::RequestToken(std::size_t index, Tenant& tenant) {
   Router& router = routers_[index];
   auto& waiting = router.waiting[tenant.name];
   const std::uint64_t number = ++last_request_;
@@ -180,7 +186,7 @@
   router.leases.SetWaiting(tenant.name,
                            static_cast<std::uint32_t>(waiting.size()));
   SendHeartbeat(index);
-  At(now_ + kLongestAsk, [this, index, number, &tenant] {
+  At(now_ + kTokenTimeout, [this, index, number, &tenant] {
     auto& queue = routers_[index].waiting[tenant.name];
     if (std::erase(queue, number) > 0) {
       routers_[index].leases.SetWaiting(
@@ -189,30 +195,32 @@
   });
 }
 
-void QuotaWorld::Use(std::size_t index, Tenant& tenant) {
+void QuotaWorld::RecordSent(std::size_t index, Tenant& tenant) {
   ++report_.admitted;
   ++SpanOf(tenant).second;
-  // A machine that freezes between the check and the sending sends on waking.
-  const MonotonicTime sent = std::max(now_, routers_[index].frozen_until);
+  // A process that pauses between TryTake and the sending sends after the
+  // pause.
+  const MonotonicTime sent = std::max(now_, routers_[index].paused_until);
   tenant.uses.push_back(sent);
 }
 
 // --- Messages ----------------------------------------------------------------
 
-MonotonicTime QuotaWorld::Arrival(MonotonicTime cut_until, Duration longest,
-                                  MonotonicTime& last) {
-  // Now and then a packet is lost, and sent again.
-  const bool may_lose = options_.trouble == QuotaTrouble::kAll;
-  const double way = may_lose && Chance(0.002)
-                         ? Draw(0.2, 3)
-                         : Draw(0.0003, ToSeconds(longest));
-  last = std::max(last, std::max(now_, cut_until) + FromSeconds(way));
+MonotonicTime QuotaWorld::Arrival(MonotonicTime partitioned_until,
+                                  Duration maximum_delay, MonotonicTime& last) {
+  // A lost packet is sent again, which delays the message.
+  const bool may_lose = options_.fault == QuotaFault::kAll;
+  const double one_way_delay = may_lose && Chance(0.002)
+                                   ? Draw(0.2, 3)
+                                   : Draw(0.0003, ToSeconds(maximum_delay));
+  last = std::max(
+      last, std::max(now_, partitioned_until) + FromSeconds(one_way_delay));
   return last;
 }
 
-void QuotaWorld::Beat(std::size_t index) {
+void QuotaWorld::HeartbeatTick(std::size_t index) {
   SendHeartbeat(index);
-  At(now_ + kBeat, [this, index] { Beat(index); });
+  At(now_ + kHeartbeatInterval, [this, index] { HeartbeatTick(index); });
 }
 
 std::size_t QuotaWorld::PoolIndexOf(std::size_t router) const {
@@ -228,17 +236,18 @@
   const auto heartbeat = std::make_shared<protocol::HeartbeatT>();
   heartbeat->term = router.term;
   session::EncodeRateReport(router.leases.MakeReport(now_), *heartbeat);
-  At(Arrival(router.cut_until, kNearWay, router.last_to_leader),
+  At(Arrival(router.partitioned_until, kMaximumZoneDelay,
+             router.last_to_leader),
      [this, index, incarnation = router.incarnation, heartbeat,
-      asked_at = now_] {
-       OnHeartbeatAtPool(index, incarnation, heartbeat, asked_at);
+      requested_at = now_] {
+       OnHeartbeatAtPool(index, incarnation, heartbeat, requested_at);
      });
 }
 
 void QuotaWorld::OnHeartbeatAtPool(
     std::size_t index, std::uint64_t incarnation,
     const std::shared_ptr<protocol::HeartbeatT>& heartbeat,
-    MonotonicTime asked_at) {
+    MonotonicTime requested_at) {
   Pool& pool = pools_[PoolIndexOf(index)];
   if (now_ < pool.down_until) {
     return;
@@ -246,22 +255,23 @@
   Router& router = routers_[index];
   const auto grants = pool.tokens->Serve(*heartbeat, now_);
   if (!grants.empty()) {
-    At(Arrival(router.cut_until, kNearWay, router.last_to_router),
-       [this, index, incarnation, grants, asked_at] {
-         OnReply(index, incarnation, grants, quota::kAnyTerm, asked_at);
+    At(Arrival(router.partitioned_until, kMaximumZoneDelay,
+               router.last_to_router),
+       [this, index, incarnation, grants, requested_at] {
+         OnReply(index, incarnation, grants, quota::kAnyTerm, requested_at);
        });
   }
-  At(Arrival(pool.cut_until, kFarWay, pool.last_to_leader),
-     [this, index, incarnation, heartbeat, asked_at] {
-       OnHeartbeat(index, incarnation, *heartbeat, asked_at);
+  At(Arrival(pool.partitioned_until, kMaximumRegionDelay, pool.last_to_leader),
+     [this, index, incarnation, heartbeat, requested_at] {
+       OnHeartbeat(index, incarnation, *heartbeat, requested_at);
      });
 }
 
 void QuotaWorld::OnHeartbeat(std::size_t index, std::uint64_t incarnation,
                              const protocol::HeartbeatT& heartbeat,
-                             MonotonicTime asked_at) {
+                             MonotonicTime requested_at) {
   Router& router = routers_[index];
-  // The membership has the newest process of a name.
+  // The membership has only the newest incarnation of a router.
   if (!leads_ || incarnation != router.incarnation) {
     return;
   }
@@ -271,12 +281,13 @@
       session::DecodeRateReport(heartbeat), now_);
   Pool& pool = pools_[PoolIndexOf(index)];
   const MonotonicTime at_pool =
-      Arrival(pool.cut_until, kFarWay, pool.last_to_pool);
-  At(at_pool, [this, index, incarnation, grants, term = term_, asked_at] {
+      Arrival(pool.partitioned_until, kMaximumRegionDelay, pool.last_to_pool);
+  At(at_pool, [this, index, incarnation, grants, term = term_, requested_at] {
     Router& receiver = routers_[index];
-    At(Arrival(receiver.cut_until, kNearWay, receiver.last_to_router),
-       [this, index, incarnation, grants, term, asked_at] {
-         OnReply(index, incarnation, grants, term, asked_at);
+    At(Arrival(receiver.partitioned_until, kMaximumZoneDelay,
+               receiver.last_to_router),
+       [this, index, incarnation, grants, term, requested_at] {
+         OnReply(index, incarnation, grants, term, requested_at);
        });
   });
 }
@@ -287,15 +298,16 @@
       std::make_unique<control::RatePool>(index + 1, pool.incarnation);
 }
 
-void QuotaWorld::BeatPool(std::size_t index) {
+void QuotaWorld::PoolTick(std::size_t index) {
   Pool& pool = pools_[index];
   if (now_ >= pool.down_until && pool.tokens->IsReportDue(now_)) {
     const std::shared_ptr<protocol::MemberHeartbeatT> report =
         pool.tokens->MakeReport(now_);
-    At(Arrival(pool.cut_until, kFarWay, pool.last_to_leader),
+    At(Arrival(pool.partitioned_until, kMaximumRegionDelay,
+               pool.last_to_leader),
        [this, index, report] { OnPoolReport(index, report); });
   }
-  At(now_ + kPoolBeat, [this, index] { BeatPool(index); });
+  At(now_ + kPoolReportInterval, [this, index] { PoolTick(index); });
 }
 
 void QuotaWorld::OnPoolReport(
@@ -318,23 +330,24 @@
                          .term = report->heartbeat->term,
                          .is_pool = true},
                         session::DecodeRateReport(*report->heartbeat), now_));
-  if (options_.defect == QuotaDefect::kEndlessLeases) {
+  if (options_.defect == QuotaDefect::kLeasesDoNotExpire) {
     for (const auto& grant : reply->reply->rate_grants) {
       grant->lease_us = Duration(seconds(60)).count();
     }
   }
-  At(Arrival(pool.cut_until, kFarWay, pool.last_to_pool),
+  At(Arrival(pool.partitioned_until, kMaximumRegionDelay, pool.last_to_pool),
      [this, index, reply] { pools_[index].tokens->OnReply(*reply, now_); });
 }
 
 void QuotaWorld::OnReply(std::size_t index, std::uint64_t incarnation,
                          const std::vector<quota::RateGrant>& grants,
-                         std::uint64_t term, MonotonicTime asked_at) {
+                         std::uint64_t term, MonotonicTime requested_at) {
   Router& router = routers_[index];
-  if (now_ < router.frozen_until) {
-    At(router.frozen_until, [this, index, incarnation, grants, term, asked_at] {
-      OnReply(index, incarnation, grants, term, asked_at);
-    });
+  if (now_ < router.paused_until) {
+    At(router.paused_until,
+       [this, index, incarnation, grants, term, requested_at] {
+         OnReply(index, incarnation, grants, term, requested_at);
+       });
     return;
   }
   if (incarnation != router.incarnation || now_ < router.down_until) {
@@ -342,15 +355,15 @@
   }
   router.term = std::max(router.term, term);
   for (quota::RateGrant grant : grants) {
-    if (options_.defect == QuotaDefect::kEndlessLeases) {
+    if (options_.defect == QuotaDefect::kLeasesDoNotExpire) {
       grant.lease = seconds(60);
     }
     auto& waiting = router.waiting[grant.key];
     Tenant& tenant = TenantOf(grant.key);
     const std::uint32_t admitted =
-        router.leases.OnGrant(grant, term, asked_at, now_);
+        router.leases.OnGrant(grant, term, requested_at, now_);
     for (std::uint32_t i = 0; i < admitted; ++i) {
-      Use(index, tenant);
+      RecordSent(index, tenant);
     }
     waiting.erase(waiting.begin(), waiting.begin() + admitted);
     if (grant.wait > Duration(0)) {
@@ -361,12 +374,12 @@
   }
 }
 
-// --- Leaders and trouble -----------------------------------------------------
+// --- Leaders and failures ----------------------------------------------------
 
 std::set<std::string> QuotaWorld::Members() const {
   std::set<std::string> members;
   for (const Router& router : routers_) {
-    if (now_ - router.answered < kMembership) {
+    if (now_ - router.answered < kMembershipTimeout) {
       members.insert(router.name);
     }
   }
@@ -382,7 +395,7 @@
   for (std::size_t i = 0; i < pools_.size(); ++i) {
     pools.insert(control::PoolName(i + 1));
   }
-  if (options_.defect == QuotaDefect::kForgetfulLeader) {
+  if (options_.defect == QuotaDefect::kLeaderIgnoresLeases) {
     members.clear();
     pools.clear();
   }
@@ -394,35 +407,38 @@
   granter_.SetLimits(std::move(limits), now_);
 }
 
-void QuotaWorld::ScheduleTrouble() {
+void QuotaWorld::ScheduleFault() {
   At(now_ + FromSeconds(Draw(0.2, 2.5)), [this] {
-    MakeTrouble();
-    ScheduleTrouble();
+    CauseFault();
+    ScheduleFault();
   });
 }
 
-void QuotaWorld::CutRouters(double share, MonotonicTime until) {
+void QuotaWorld::PartitionRouters(double share, MonotonicTime until) {
   for (Router& router : routers_) {
-    router.cut_until = Chance(share) ? until : router.cut_until;
+    router.partitioned_until = Chance(share) ? until : router.partitioned_until;
   }
   for (Pool& pool : pools_) {
-    const bool may_cut = options_.trouble != QuotaTrouble::kRoutersCut;
-    pool.cut_until =
-        may_cut && Chance(share * kPoolCutShare) ? until : pool.cut_until;
-  }
-  if (options_.defect != QuotaDefect::kEagerReuse) {
+    const bool may_partition =
+        options_.fault != QuotaFault::kRoutersPartitioned;
+    pool.partitioned_until =
+        may_partition && Chance(share * kPoolPartitionShare)
+            ? until
+            : pool.partitioned_until;
+  }
+  if (options_.defect != QuotaDefect::kEarlyLeaseReuse) {
     return;
   }
   At(now_ + seconds(1), [this] {
     for (const Router& router : routers_) {
-      if (now_ < router.cut_until && leads_) {
+      if (now_ < router.partitioned_until && leads_) {
         granter_.OnReport(
             {.name = router.name, .incarnation = router.incarnation + 1000}, {},
             now_);
       }
     }
     for (std::size_t i = 0; i < pools_.size(); ++i) {
-      if (now_ < pools_[i].cut_until && leads_) {
+      if (now_ < pools_[i].partitioned_until && leads_) {
         granter_.OnReport({.name = control::PoolName(i + 1),
                            .incarnation = 1'000'000,
                            .is_pool = true},
@@ -444,45 +460,46 @@
   }
 }
 
-void QuotaWorld::LoseLeader(Duration without) {
+void QuotaWorld::CrashLeader(Duration downtime) {
   if (leads_) {
-    // Its machine restarts.
+    // The leader's control node restarts.
     const auto lost = static_cast<std::size_t>(
         Draw(0, static_cast<double>(pools_.size()) - 0.01));
-    pools_[lost].down_until = now_ + without;
+    pools_[lost].down_until = now_ + downtime;
     RestartPool(pools_[lost], lost);
     leads_ = false;
     granter_.Stop();
-    At(now_ + without, [this] { StartLeader(); });
+    At(now_ + downtime, [this] { StartLeader(); });
   }
 }
 
-void QuotaWorld::HeatTenant(Tenant& tenant, Duration length, double factor) {
+void QuotaWorld::OverloadTenant(Tenant& tenant, Duration length,
+                                double factor) {
   tenant.hot_until = now_ + length;
   tenant.hot_factor = factor;
 }
 
-void QuotaWorld::MakeTrouble() {
+void QuotaWorld::CauseFault() {
   const double kind = Draw(0, 1);
   if (kind < 0.25) {
-    HeatTenant(tenants_[static_cast<std::size_t>(Draw(0, 6))],
-               FromSeconds(Draw(3, 10)), Draw(3, 9));
+    OverloadTenant(tenants_[static_cast<std::size_t>(Draw(0, 6))],
+                   FromSeconds(Draw(3, 10)), Draw(3, 9));
   } else if (kind < 0.45) {
-    CutRouters(Draw(0.05, 0.9), now_ + FromSeconds(Draw(1, 10)));
+    PartitionRouters(Draw(0.05, 0.9), now_ + FromSeconds(Draw(1, 10)));
   } else if (kind < 0.6) {
     for (Router& router : routers_) {
       if (Chance(0.15)) {
-        router.frozen_until = now_ + FromSeconds(Draw(0.5, 5));
+        router.paused_until = now_ + FromSeconds(Draw(0.5, 5));
       }
     }
   } else if (kind < 0.75) {
     RestartRouters(Chance(0.2) ? 1 : 0.1);
   } else {
-    LoseLeader(FromSeconds(Draw(0.3, 2)));
+    CrashLeader(FromSeconds(Draw(0.3, 2)));
   }
 }
 
-double QuotaWorld::WorstUse() const {
+double QuotaWorld::MaximumUse() const {
   double worst = 0;
   for (const Tenant& tenant : tenants_) {
     const double allowed =
@@ -503,15 +520,15 @@
   return worst;
 }
 
-std::size_t QuotaWorld::ShortOf() const {
-  std::size_t short_of = 0;
+std::size_t QuotaWorld::RefusedWithinLimit() const {
+  std::size_t refused_within = 0;
   for (const Tenant& tenant : tenants_) {
     for (const auto& [span, counts] : tenant.spans) {
       const auto& [within, admitted] = counts;
-      short_of += within - std::min(within, admitted);
+      refused_within += within - std::min(within, admitted);
     }
   }
-  return short_of;
+  return refused_within;
 }
 
 QuotaReport QuotaWorld::Run() {
@@ -521,8 +538,8 @@
     now_ = event.time;
     event.run();
   }
-  report_.worst_use = WorstUse();
-  report_.short_of = ShortOf();
+  report_.maximum_use = MaximumUse();
+  report_.refused_within = RefusedWithinLimit();
   return report_;
 }
 
--- a/test/property/quota/quota_world.h
+++ b/test/property/quota/quota_world.h
@@ -1,6 +1,6 @@
-// A fleet of routers that share tenants' limits, under virtual time: the pure
-// code of routers, pools and the leader, and links, machines and leaders that
-// fail.
+// Simulates, under virtual time, a fleet of routers that share tenants' limits:
+// the code of routers, pools and the leader, and failures of network paths,
+// daemons and leaders.
 #pragma once
 
 #include <cstddef>
@@ -20,54 +20,61 @@
 
 namespace juniperway::test {
 
-// What is planted to be found.
+// Defects that the test must detect.
 enum class QuotaDefect {
   kNone,
-  // A new leader takes it that nobody holds a lease.
-  kForgetfulLeader,
-  // Routers go on with leases that have ended.
-  kEndlessLeases,
-  // The lease of a router that is silent for a second is leased anew at once.
-  kEagerReuse,
+  // A new leader assumes that no holder has a lease.
+  kLeaderIgnoresLeases,
+  // Routers continue to use expired leases.
+  kLeasesDoNotExpire,
+  // The leader reuses the leases of a partitioned router after one second.
+  kEarlyLeaseReuse,
 };
 
-enum class QuotaTrouble {
+// Failures during a simulation.
+enum class QuotaFault {
   kNone,
-  // One leader is lost, and the next one starts a second later.
-  kLeaderLost,
-  // A third of the routers is cut off from control for ten seconds.
-  kRoutersCut,
-  // Tenants want many times their limit while half of the routers are cut off,
-  // and once more, when the leader is lost too.
-  kHotAndCut,
-  // Everything, again and again.
+  // The leader crashes, and the next one starts a second later.
+  kLeaderCrash,
+  // A third of the routers is partitioned from the control nodes for ten
+  // seconds.
+  kRoutersPartitioned,
+  // Tenants send many times their limit while half of the routers are
+  // partitioned, and again while the leader crashes too.
+  kOverloadAndPartition,
+  // All failures, at random times.
   kAll,
 };
 
+// Options of one simulation.
 struct QuotaOptions {
   std::uint64_t seed = 1;
   std::size_t routers = 60;
   Duration length = seconds(40);
   std::size_t tenants = 24;
-  // Requests a second of the largest tenant.
-  double largest = 30;
+  // Requests a second of the tenant with the most requests.
+  double largest_rate = 30;
   QuotaDefect defect = QuotaDefect::kNone;
-  QuotaTrouble trouble = QuotaTrouble::kAll;
+  QuotaFault fault = QuotaFault::kAll;
 };
 
+// Result of one simulation.
 struct QuotaReport {
   std::size_t requests = 0;
   std::size_t admitted = 0;
-  // By a token bucket of each tenant's limit, and how many fewer were admitted,
-  // counted in spans of five seconds a tenant.
+  // Requests within the limits according to one token bucket for each tenant,
+  // and how many fewer were admitted, summed over tenants and windows of five
+  // seconds.
   std::size_t within = 0;
-  std::size_t short_of = 0;
+  std::size_t refused_within = 0;
   std::size_t heartbeats = 0;
   std::size_t leaders = 0;
-  // The largest use of any tenant in a window, as a share of what is allowed.
-  double worst_use = 0;
+  // Maximum over tenants and windows of the requests sent, as a share of the
+  // limit with its tolerance.
+  double maximum_use = 0;
 };
 
+// One simulation; the test owns it.
 class QuotaWorld {
  public:
   explicit QuotaWorld(const QuotaOptions& options);
@@ -77,17 +84,18 @@
   struct Tenant {
     std::string name;
     quota::RateLimit limit;
-    // Requests a second; a multiple of it while it is hot.
-    double usual = 0;
+    // Requests a second; multiplied by `hot_factor` until `hot_until`.
+    double typical_rate = 0;
     MonotonicTime hot_until = MonotonicTime::min();
     double hot_factor = 1;
-    // Routers that its clients use.
-    std::vector<std::size_t> homes;
-    // A token bucket of the limit over all that came: who is within it.
+    // Routers that the tenant's clients use.
+    std::vector<std::size_t> client_routers;
+    // Token bucket over all requests; it decides which are within the limit.
     double reference = 0;
     MonotonicTime reference_at;
+    // When admitted requests were sent.
     std::vector<MonotonicTime> uses;
-    // By span: requests within the limit, and those that were admitted.
+    // By window: requests within the limit, and admitted requests.
     std::map<std::int64_t, std::pair<std::size_t, std::size_t>> spans;
   };
   struct Router {
@@ -95,23 +103,24 @@
     std::uint64_t incarnation = 1;
     std::uint64_t term = 0;
     quota::RateLeases leases;
-    // By tenant, the oldest first.
+    // Queued requests by tenant, the oldest first.
     std::map<std::string, std::vector<std::uint64_t>> waiting;
-    MonotonicTime frozen_until = MonotonicTime::min();
-    MonotonicTime cut_until = MonotonicTime::min();
+    MonotonicTime paused_until = MonotonicTime::min();
+    MonotonicTime partitioned_until = MonotonicTime::min();
     MonotonicTime down_until = MonotonicTime::min();
-    // A connection keeps the order of its messages, each way.
+    // Arrival time of the last message in each direction, because a connection
+    // keeps the order of its messages.
     MonotonicTime last_to_leader = MonotonicTime::min();
     MonotonicTime last_to_router = MonotonicTime::min();
-    // When any leader answered it last.
+    // When a leader last answered the router.
     MonotonicTime answered = MonotonicTime::min();
   };
-  // One control machine's; routers have their sessions there.
+  // Pool of one control node, where routers have their sessions.
   struct Pool {
     std::uint64_t incarnation = 1;
     std::unique_ptr<control::RatePool> tokens;
-    // From the leader.
-    MonotonicTime cut_until = MonotonicTime::min();
+    // End of the partition from the leader.
+    MonotonicTime partitioned_until = MonotonicTime::min();
     MonotonicTime down_until = MonotonicTime::min();
     MonotonicTime last_to_leader = MonotonicTime::min();
     MonotonicTime last_to_pool = MonotonicTime::min();
@@ -132,46 +141,47 @@
   void ScheduleArrival(Tenant& tenant);
   void Arrive(Tenant& tenant);
   bool TakeReference(Tenant& tenant) const;
-  void Ask(std::size_t index, Tenant& tenant);
+  void RequestToken(std::size_t index, Tenant& tenant);
   std::pair<std::size_t, std::size_t>& SpanOf(Tenant& tenant) const;
-  // A token was taken: the request is sent.
-  void Use(std::size_t index, Tenant& tenant);
+  // Records the sending of a request that took a token.
+  void RecordSent(std::size_t index, Tenant& tenant);
   Tenant& TenantOf(const std::string& name);
 
-  void Beat(std::size_t index);
+  void HeartbeatTick(std::size_t index);
   void SendHeartbeat(std::size_t index);
   std::size_t PoolIndexOf(std::size_t router) const;
-  // At the router's control machine, which serves it and passes it on.
+  // A heartbeat arrives at the router's control node, which serves tokens of
+  // its pool and forwards the heartbeat to the leader.
   void OnHeartbeatAtPool(std::size_t index, std::uint64_t incarnation,
                          const std::shared_ptr<protocol::HeartbeatT>& heartbeat,
-                         MonotonicTime asked_at);
-  // At the leader.
+                         MonotonicTime requested_at);
+  // A heartbeat arrives at the leader.
   void OnHeartbeat(std::size_t index, std::uint64_t incarnation,
                    const protocol::HeartbeatT& heartbeat,
-                   MonotonicTime asked_at);
-  void BeatPool(std::size_t index);
+                   MonotonicTime requested_at);
+  void PoolTick(std::size_t index);
   void OnPoolReport(std::size_t index,
                     const std::shared_ptr<protocol::MemberHeartbeatT>& report);
   void RestartPool(Pool& pool, std::size_t index);
   void OnReply(std::size_t index, std::uint64_t incarnation,
                const std::vector<quota::RateGrant>& grants, std::uint64_t term,
-               MonotonicTime asked_at);
-  // When a message arrives; one over a link that is cut waits.
-  // @param longest way of the link.
-  // @param last when the one before it arrives.
-  MonotonicTime Arrival(MonotonicTime cut_until, Duration longest,
+               MonotonicTime requested_at);
+  // Arrival time of a message sent now. A partition delays it.
+  // @param maximum_delay of the network path, one way.
+  // @param last arrival time of the message before; updated.
+  MonotonicTime Arrival(MonotonicTime partitioned_until, Duration maximum_delay,
                         MonotonicTime& last);
 
   void StartLeader();
   std::set<std::string> Members() const;
-  void ScheduleTrouble();
-  void MakeTrouble();
-  void CutRouters(double share, MonotonicTime until);
+  void ScheduleFault();
+  void CauseFault();
+  void PartitionRouters(double share, MonotonicTime until);
   void RestartRouters(double share);
-  void LoseLeader(Duration without);
-  void HeatTenant(Tenant& tenant, Duration length, double factor);
-  double WorstUse() const;
-  std::size_t ShortOf() const;
+  void CrashLeader(Duration downtime);
+  void OverloadTenant(Tenant& tenant, Duration length, double factor);
+  double MaximumUse() const;
+  std::size_t RefusedWithinLimit() const;
 
   QuotaOptions options_;
   std::mt19937_64 random_;
--- a/test/unit/quota/rate_leases_test.cc
+++ b/test/unit/quota/rate_leases_test.cc
@@ -1,4 +1,4 @@
-// A router's side of a leased rate.
+// RateLeases of a router and of a pool.
 #include "common/quota/rate_leases.h"
 
 #include <doctest/doctest.h>
@@ -19,7 +19,7 @@
           .wait = Duration(0)};
 }
 
-// A router that was granted 2 tokens a second and a stock of 2, which is full.
+// The leases of a router with 2 tokens a second and a full reserve of 2.
 RateLeases Leased() {
   RateLeases leases;
   leases.OnDemand("t", kStart);
@@ -27,12 +27,12 @@
   return leases;
 }
 
-TEST_CASE("nothing is let through without a grant") {
+TEST_CASE("without a grant there are no tokens") {
   RateLeases leases;
   CHECK_FALSE(leases.TryTake("t", kStart));
 }
 
-TEST_CASE("the stock is used, and grows with the leased rate") {
+TEST_CASE("the reserve is used, and grows at the leased rate") {
   RateLeases leases = Leased();
   CHECK(leases.TryTake("t", kStart));
   CHECK(leases.TryTake("t", kStart));
@@ -41,15 +41,15 @@
   CHECK(leases.TryTake("t", kStart + milliseconds(510)));
 }
 
-TEST_CASE("a lease ends by itself, its stock with it") {
+TEST_CASE("a lease expires together with its reserve") {
   RateLeases leases = Leased();
   CHECK_FALSE(leases.TryTake("t", kStart + kRateLease));
-  // Also while the router was cut off for long, or suspended.
+  // A router that was partitioned or paused for long has no tokens either.
   CHECK_FALSE(leases.TryTake("t", kStart + seconds(60)));
 }
 
 TEST_CASE(
-    "an answer that comes late is not taken in, and its tokens returned") {
+    "a late answer is ignored, and its tokens are returned to the leader") {
   RateLeases leases;
   leases.OnDemand("t", kStart);
   leases.SetWaiting("t", 1);
@@ -59,7 +59,7 @@
   CHECK(leases.MakeReport(late).requests.front().returned == 2);
 }
 
-TEST_CASE("tokens are asked for once, until their answer is overdue") {
+TEST_CASE("tokens are requested once, until their answer is overdue") {
   RateLeases leases;
   leases.OnDemand("t", kStart);
   leases.SetWaiting("t", 1);
@@ -75,13 +75,13 @@
   CHECK(leases.MakeReport(late).requests.front().waiting == 3);
 }
 
-TEST_CASE("what grows beyond a full stock is returned") {
+TEST_CASE("tokens beyond a full reserve are returned") {
   RateLeases leases = Leased();
   const RateReport report = leases.MakeReport(kStart + seconds(1));
   CHECK(report.requests.front().returned == doctest::Approx(2));
 }
 
-TEST_CASE("what waits gets its tokens first, the rest fills the stock") {
+TEST_CASE("queued requests get tokens first, the rest fills the reserve") {
   RateLeases leases;
   leases.OnDemand("t", kStart);
   leases.SetWaiting("t", 3);
@@ -99,7 +99,7 @@
   CHECK(leases.Describe("t", kStart).grant == 9);
 }
 
-TEST_CASE("a token that was not used is kept for another, within the stock") {
+TEST_CASE("a released token is kept for another request, within the reserve") {
   RateLeases leases = Leased();
   CHECK(leases.TryTake("t", kStart));
   leases.GiveBack("t", kStart);
@@ -109,7 +109,7 @@
   CHECK_FALSE(leases.TryTake("t", kStart));
 }
 
-TEST_CASE("a report tells demand and what is held") {
+TEST_CASE("a report has the demand and the lease") {
   RateLeases leases = Leased();
   for (int i = 0; i < 9; ++i) {
     leases.OnDemand("t", kStart);
@@ -128,10 +128,10 @@
   CHECK(request.room == 1);
 }
 
-TEST_CASE("a key without demand is given back and forgotten") {
+TEST_CASE("a key without demand is released and removed") {
   RateLeases leases = Leased();
   const MonotonicTime later = kStart + seconds(15);
-  // Still held when it is asked about, so it is named with no demand.
+  // The lease has not expired, so the report has the key with no demand.
   CHECK(leases.OnGrant(Grant(2, 2, 2, 0), 1, later, later) == 0);
   const RateReport report = leases.MakeReport(later);
   REQUIRE(report.requests.size() == 1);
@@ -140,7 +140,7 @@
   CHECK(leases.MakeReport(later).requests.empty());
 }
 
-TEST_CASE("a report is bounded, what waits goes first") {
+TEST_CASE("a report is bounded, and keys with queued requests come first") {
   RateLeases leases;
   for (int i = 0; i < 200; ++i) {
     for (int request = 0; request < 4; ++request) {
@@ -151,11 +151,11 @@
   RateReport report = leases.MakeReport(kStart);
   CHECK(report.requests.size() == HolderOptions().maximum_requests);
   CHECK(report.requests.front().key == "t150");
-  // What is left out holds no lease.
+  // The keys left out have no lease.
   CHECK(report.complete);
 }
 
-TEST_CASE("tokens of a pool leave the lease as it is") {
+TEST_CASE("tokens of a pool do not change the lease") {
   RateLeases leases = Leased();
   leases.SetWaiting("t", 2);
   leases.TryTake("t", kStart);
@@ -163,7 +163,7 @@
   RateGrant tokens = Grant(0, 0, 0, 2);
   CHECK(leases.OnGrant(tokens, kAnyTerm, kStart, kStart) == 2);
   CHECK(leases.Describe("t", kStart).grant == 1);
-  // Late ones are not used.
+  // Late tokens are not used.
   leases.SetWaiting("t", 2);
   const MonotonicTime late = kStart + kLongestGrantAge + milliseconds(1);
   CHECK(leases.OnGrant(tokens, kAnyTerm, kStart, late) == 0);
@@ -181,7 +181,7 @@
   CHECK(pool.MakeReport(kStart).requests.front().is_pool);
 }
 
-TEST_CASE("that the limit is used up is known until it is not any more") {
+TEST_CASE("the announced wait is known as the time without tokens") {
   RateLeases leases;
   leases.OnDemand("t", kStart);
   leases.SetWaiting("t", 1);
