--- a/source/common/control/crash_attribution.cc
+++ b/source/common/control/crash_attribution.cc
@@ -7,13 +7,15 @@
 namespace juniperway::control {
 namespace {
 
-// Back ends that ended under each request and that no other one explains yet.
+// Backends that crashed under each request and whose crash no other request
+// explains yet.
 using Unexplained = std::map<RequestFingerprint, std::set<std::string>>;
 
-void Explain(const std::set<std::string>& backends, Unexplained& unexplained) {
-  for (auto& [request, left] : unexplained) {
+void EraseExplained(const std::set<std::string>& backends,
+                    Unexplained& unexplained) {
+  for (auto& [request, remaining] : unexplained) {
     for (const std::string& backend : backends) {
-      left.erase(backend);
+      remaining.erase(backend);
     }
   }
 }
@@ -23,17 +25,17 @@
 bool IsListed(
     const std::map<std::string, session::DiscoveredBackend>& discovered,
     const std::string& incarnation) {
-  // The id ends at the last "@", if any: it may hold one itself.
+  // The id ends at the last "@", if any; the id itself may contain one.
   const std::string id = incarnation.substr(0, incarnation.rfind('@'));
-  const auto is_it = [&](const std::string& name) {
+  const auto is_same_incarnation = [&](const std::string& name) {
     const auto entry = discovered.find(name);
     return entry != discovered.end() &&
            session::IncarnationName(entry->second) == incarnation;
   };
-  return is_it(incarnation) || is_it(id);
+  return is_same_incarnation(incarnation) || is_same_incarnation(id);
 }
 
-std::vector<RequestFingerprint> FindBlamed(const CrashRecords& records) {
+std::vector<RequestFingerprint> AttributeCrashes(const CrashRecords& records) {
   Unexplained unexplained;
   for (const auto& [request, record] : records) {
     if (!record.quarantined) {
@@ -42,78 +44,80 @@
   }
   for (const auto& [request, record] : records) {
     if (record.quarantined) {
-      Explain(record.ended_backends, unexplained);
+      EraseExplained(record.ended_backends, unexplained);
     }
   }
-  std::vector<RequestFingerprint> blamed;
+  std::vector<RequestFingerprint> attributed;
   while (!unexplained.empty()) {
-    const auto most = std::ranges::max_element(
+    const auto candidate = std::ranges::max_element(
         unexplained, {}, [](const auto& entry) { return entry.second.size(); });
-    if (most->second.size() < kBlamedAfter) {
+    if (candidate->second.size() < kMinimumUnexplainedBackends) {
       break;
     }
-    const RequestFingerprint request = most->first;
-    const std::set<std::string> backends = most->second;
-    // Requests that lost the very same back ends cannot be told apart: each
-    // stays suspected, and the one attempt that its next try may make tells.
-    const auto alike = std::erase_if(unexplained, [&](const auto& entry) {
-      return entry.second == backends;
-    });
-    if (alike == 1) {
-      blamed.push_back(request);
+    const RequestFingerprint request = candidate->first;
+    const std::set<std::string> backends = candidate->second;
+    // Requests with exactly the same crashed backends cannot be distinguished.
+    // Each stays suspected until the result of its next, single attempt.
+    const auto indistinguishable = std::erase_if(
+        unexplained,
+        [&](const auto& entry) { return entry.second == backends; });
+    if (indistinguishable == 1) {
+      attributed.push_back(request);
     }
-    Explain(backends, unexplained);
+    EraseExplained(backends, unexplained);
   }
-  return blamed;
+  return attributed;
 }
 
 CrashJudge::Judgement CrashJudge::Judge(
     const CrashRecords& records,
     const std::function<bool(const std::string&)>& is_listed,
     MonotonicTime now) {
-  if (Watch(records, now)) {
-    blamed_ = FindBlamed(records);
+  if (UpdateEvidence(records, now)) {
+    attributed_ = AttributeCrashes(records);
   }
   Judgement judgement;
-  for (const RequestFingerprint request : blamed_) {
-    if (IsUnchangedFor(request, kSettleTime, now)) {
+  for (const RequestFingerprint request : attributed_) {
+    if (IsUnchangedFor(request, kEvidenceDelay, now)) {
       judgement.quarantine.push_back(request);
     }
   }
   for (const auto& [request, record] : records) {
-    if (!IsUnchangedFor(request, kListedTime, now)) {
+    if (!IsUnchangedFor(request, kDiscoveryRemovalDelay, now)) {
       continue;
     }
-    const auto alive = static_cast<std::size_t>(
+    const auto still_listed = static_cast<std::size_t>(
         std::ranges::count_if(record.ended_backends, is_listed));
-    if (alive > 0 && record.ended_backends.size() - alive < kBlamedAfter) {
+    if (still_listed > 0 && record.ended_backends.size() - still_listed <
+                                kMinimumUnexplainedBackends) {
       judgement.release.push_back(request);
     }
   }
   return judgement;
 }
 
-bool CrashJudge::Watch(const CrashRecords& records, MonotonicTime now) {
-  bool changed = std::erase_if(watched_, [&records](const auto& entry) {
+bool CrashJudge::UpdateEvidence(const CrashRecords& records,
+                                MonotonicTime now) {
+  bool changed = std::erase_if(evidence_, [&records](const auto& entry) {
                    return !records.contains(entry.first);
                  }) > 0;
   for (const auto& [request, record] : records) {
-    Watched& watched = watched_[request];
-    if (watched.ended_backends != record.ended_backends.size()) {
-      watched.ended_backends = record.ended_backends.size();
-      watched.since = now;
+    Evidence& evidence = evidence_[request];
+    if (evidence.ended_backends != record.ended_backends.size()) {
+      evidence.ended_backends = record.ended_backends.size();
+      evidence.since = now;
       changed = true;
     }
-    changed |= watched.quarantined != record.quarantined;
-    watched.quarantined = record.quarantined;
+    changed |= evidence.quarantined != record.quarantined;
+    evidence.quarantined = record.quarantined;
   }
   return changed;
 }
 
 bool CrashJudge::IsUnchangedFor(RequestFingerprint request, Duration time,
                                 MonotonicTime now) const {
-  const auto watched = watched_.find(request);
-  return watched != watched_.end() && now - watched->second.since >= time;
+  const auto evidence = evidence_.find(request);
+  return evidence != evidence_.end() && now - evidence->second.since >= time;
 }
 
 }  // namespace juniperway::control
--- a/source/common/control/crash_attribution.h
+++ b/source/common/control/crash_attribution.h
@@ -1,10 +1,10 @@
-// Which of the requests that were running on back ends when these ended is to
-// blame. Pure.
+// Attributes crashes of backends to the requests that caused them. Does no I/O;
+// the time is an argument.
 //
-// A crash ends whatever its back end is running, so that innocent requests lose
-// attempts too. They lose them only where the one to blame was running as well:
-// the request under which most back ends ended explains those, and another one
-// is blamed only for what is left.
+// A crash ends all requests that the backend runs, so innocent requests lose
+// attempts too, but only on backends that also ran the crashing request. The
+// request under which the most backends crashed therefore explains all these
+// crashes. Another request is found only if enough other crashes remain.
 #pragma once
 
 #include <cstddef>
@@ -20,33 +20,36 @@
 
 namespace juniperway::control {
 
-// Back ends that have to end under a request, and are not explained by another
-// one, before the request is to blame. One or two may be a coincidence; after
-// the third one the users allow hardly any further attempt.
-inline constexpr std::size_t kBlamedAfter = 3;
+// Minimum number of backends that crashed under a request, and whose crashes no
+// other request explains, before they are attributed to the request. One or two
+// may be a coincidence; after the third crash hardly any further attempt is
+// acceptable.
+inline constexpr std::size_t kMinimumUnexplainedBackends = 3;
 
-// Whether this run of a back end's process (session::IncarnationName) is still
-// on the discovery list. Another run under the same id shows that it has ended.
+// Whether this incarnation of a backend (session::IncarnationName) is still on
+// the discovery list. Another incarnation under the same id shows that this one
+// has ended.
 bool IsListed(
     const std::map<std::string, session::DiscoveredBackend>& discovered,
     const std::string& incarnation);
 
-// Requests that are to blame and not quarantined yet.
-std::vector<RequestFingerprint> FindBlamed(const CrashRecords& records);
+// Requests that crashes are attributed to and that are not quarantined yet.
+std::vector<RequestFingerprint> AttributeCrashes(const CrashRecords& records);
 
-// Decides over the replicated evidence when to quarantine and when to release.
-// Kept by the leader; the next one begins anew, which delays a judgement by the
-// times below and loses none.
+// Decides from the replicated crash records which requests to quarantine and
+// which to release. LeaderRole owns it. A new leader starts without the times
+// of the evidence, which delays a decision by the delays below but loses none.
 class CrashJudge {
  public:
-  // Other routers' evidence of the same crashes arrives within this: the way to
-  // a control machine and on to the leader, and until a router has seen that a
-  // back end is gone (each one round trip between regions, 24 ms).
-  static constexpr Duration kSettleTime = milliseconds(200);
-  // A back end that has ended is off the discovery list after this: seconds
-  // after its crash. One that is still listed lives, and lost its connections
-  // for another reason, such as having too many of them.
-  static constexpr Duration kListedTime = seconds(20);
+  // Delay from the last new evidence on a request to its quarantine. Evidence
+  // of other routers on the same crashes arrives in this time: a router detects
+  // the crash and reports it to a control node, which forwards it to the leader
+  // (each step takes one round trip between regions, 24 ms).
+  static constexpr Duration kEvidenceDelay = milliseconds(200);
+  // Delay after which a crashed backend is no longer on the discovery list,
+  // which takes seconds. A backend that is still listed is running and lost its
+  // connections for another reason, such as too many of them.
+  static constexpr Duration kDiscoveryRemovalDelay = seconds(20);
 
   struct Judgement {
     std::vector<RequestFingerprint> quarantine;
@@ -55,28 +58,30 @@
     bool empty() const { return quarantine.empty() && release.empty(); }
   };
 
-  // @param is_listed whether the discovery list holds this run of a back end.
+  // @param is_listed whether the discovery list contains an incarnation of a
+  //   backend.
   Judgement Judge(const CrashRecords& records,
                   const std::function<bool(const std::string&)>& is_listed,
                   MonotonicTime now);
 
  private:
-  // How much evidence there is on a request, and since when.
-  struct Watched {
+  // Evidence on a request, and the time since which it is unchanged.
+  struct Evidence {
     std::size_t ended_backends = 0;
     bool quarantined = false;
     MonotonicTime since;
   };
 
-  // @return whether anything has changed since the last call.
-  bool Watch(const CrashRecords& records, MonotonicTime now);
+  // Updates evidence_ from the records.
+  // @return whether evidence on any request changed since the last call.
+  bool UpdateEvidence(const CrashRecords& records, MonotonicTime now);
   bool IsUnchangedFor(RequestFingerprint request, Duration time,
                       MonotonicTime now) const;
 
-  std::map<RequestFingerprint, Watched> watched_;
-  // Of the records as they were last seen to change: to find them may take long
-  // where many requests are suspected.
-  std::vector<RequestFingerprint> blamed_;
+  std::map<RequestFingerprint, Evidence> evidence_;
+  // Result of AttributeCrashes() for the last changed records. It is stored
+  // because the search takes long when many requests are suspected.
+  std::vector<RequestFingerprint> attributed_;
 };
 
 }  // namespace juniperway::control
--- a/source/common/control/crash_record.h
+++ b/source/common/control/crash_record.h
@@ -1,5 +1,5 @@
-// What the fleet knows of a request that may end the back ends which run it, as
-// replicated.
+// The replicated evidence on requests that may crash the backends that run
+// them. FleetStore owns the records.
 #pragma once
 
 #include <cstddef>
@@ -12,30 +12,33 @@
 
 namespace juniperway::control {
 
+// Evidence on one request.
 struct CrashRecord {
-  // Ids of back ends that ended under it, at most kMaximumEndedBackends.
+  // Incarnation names (session::IncarnationName) of backends that crashed while
+  // they ran the request, at most kMaximumEndedBackends.
   std::set<std::string> ended_backends;
-  // It is to blame: routers refuse it.
+  // Crashes are attributed to the request; routers refuse it.
   bool quarantined = false;
-  // Of the first and the latest report on it, by the leaders' clocks.
+  // Times of the first and of the latest report, by the leaders' clocks.
   WallTime since{};
   WallTime latest{};
 };
 
 using CrashRecords = std::map<RequestFingerprint, CrashRecord>;
 
-// Of one request. A scatter over hundreds of shards may end one in each, and a
-// part of them is enough to tell which request explains a crash.
+// Maximum number of backends in one record. A scatter over hundreds of shards
+// may crash a backend of each; a subset suffices to attribute the crashes.
 inline constexpr std::size_t kMaximumEndedBackends = 64;
-// Of all; the one with the oldest report goes first, and of those that are
-// quarantined only once no other is left. Bounds what reports of a mass failure
-// take: 64 ids each at most.
+// Maximum number of records. The state evicts the record with the oldest report
+// first, and quarantined ones only when there are no others. Together with
+// kMaximumEndedBackends this bounds the size of the state in a mass failure.
 inline constexpr std::size_t kMaximumCrashRecords = 512;
-// Without a further report a suspicion ends after this: a caller that repeats a
+// Time to live of a suspicion after the last report. A client that repeats a
 // request does so within minutes.
-inline constexpr Duration kSuspicionTime = seconds(600);
-// ... and a quarantine after this. What comes again later may end three more
-// back ends; a fault that takes longer to mend is for the operator.
-inline constexpr Duration kQuarantineTime = seconds(3600);
+inline constexpr Duration kSuspicionTimeToLive = seconds(600);
+// Time to live of a quarantine after the last report. A request that is sent
+// again later may crash three more backends; the operator has to handle a fault
+// that lasts longer.
+inline constexpr Duration kQuarantineTimeToLive = seconds(3600);
 
 }  // namespace juniperway::control
--- a/source/common/control/operation_applier.cc
+++ b/source/common/control/operation_applier.cc
@@ -27,7 +27,7 @@
   return item;
 }
 
-// The service whose serving version this resource may move.
+// The service whose serving version may change with this resource.
 std::string ServiceOf(const Resource& resource) {
   if (const auto* backend =
           std::get_if<resources::Backend>(&resource.specification)) {
@@ -115,7 +115,7 @@
     outcome = Refuse(checked.error());
     AttachCurrent(ids, outcome);
   }
-  RememberChange(operation.change_id, operation.digest, outcome, ids);
+  RecordChange(operation.change_id, operation.digest, outcome, ids);
   return outcome;
 }
 
@@ -133,7 +133,7 @@
     outcome = Refuse(checked.error());
     AttachCurrent({id}, outcome);
   }
-  RememberChange(operation.change_id, operation.digest, outcome, {id});
+  RecordChange(operation.change_id, operation.digest, outcome, {id});
   return outcome;
 }
 
@@ -158,7 +158,7 @@
     }
     items.push_back(ItemOf(resource));
     if (fleet.members.contains(resource.id.name)) {
-      // A Machine that leaves changes the daemon of that name.
+      // A Machine marked as leaving changes the daemon of the same name.
       items.push_back(NamedItem(FleetItem::Kind::kMember, resource.id.name));
     }
     outcome.resources.push_back(std::make_unique<protocol::ResourceRecordT>(
@@ -219,10 +219,10 @@
   return outcome;
 }
 
-void OperationApplier::RememberChange(const std::string& change_id,
-                                      std::uint64_t digest,
-                                      const Outcome& outcome,
-                                      const std::vector<ResourceId>& written) {
+void OperationApplier::RecordChange(const std::string& change_id,
+                                    std::uint64_t digest,
+                                    const Outcome& outcome,
+                                    const std::vector<ResourceId>& written) {
   protocol::ChangeRecordT record;
   record.change_id = change_id;
   record.digest = digest;
@@ -260,7 +260,7 @@
     }
     if (current->second.incarnation > joining.incarnation) {
       return Refuse({ErrorCode::kConflict, "incarnation",
-                     "a later start of this daemon has joined"});
+                     "a later incarnation of this daemon has joined"});
     }
   }
   state_.fleet_.members[joining.daemon_id] = joining;
@@ -309,10 +309,11 @@
       state_.wall_time_ + service->maximum_expiry + kClaimClockAllowance;
   if (WallTime{Duration(operation.expiry_us)} > limit) {
     return Refuse({ErrorCode::kInvalidArgument, "expiry",
-                   "lies further ahead than the service allows"});
+                   "is later than the service's maximum_expiry allows"});
   }
   if (state_.claims_.size() >= kMaximumClaims) {
-    return Refuse({ErrorCode::kTooLarge, "", "too many claims are open"});
+    return Refuse(
+        {ErrorCode::kTooLarge, "", "too many claims have not expired yet"});
   }
   const session::ClaimReply reply =
       state_.claims_.Claim(operation, state_.wall_time_);
@@ -332,7 +333,7 @@
   return Done();
 }
 
-// --- Back ends ---------------------------------------------------------------
+// --- Backends ----------------------------------------------------------------
 
 OperationApplier::Outcome OperationApplier::Apply(
     const protocol::ReportBackendsT& operation) {
@@ -395,13 +396,14 @@
 
 OperationApplier::Outcome OperationApplier::Apply(
     const protocol::PutRouteTableT& operation) {
-  StoredRouteTable& held = state_.fleet_.route_table;
-  // Writers may race, and a resent table may come after a newer one: the
-  // highest version holds, and of two tables with one version the first.
-  if (operation.route_table->version <= held.version) {
+  StoredRouteTable& stored = state_.fleet_.route_table;
+  // Operators may write concurrently, and a resent table may arrive after a
+  // newer one. The highest version is kept; of two tables with the same version
+  // the first one.
+  if (operation.route_table->version <= stored.version) {
     return Done();
   }
-  held = {operation.route_table->version, operation.route_table->content};
+  stored = {operation.route_table->version, operation.route_table->content};
   state_.Commit({NamedItem(FleetItem::Kind::kRouteTable, "")});
   return Done();
 }
@@ -417,11 +419,11 @@
   }
   for (const auto& record : operation.backends) {
     session::DiscoveredBackend backend = session::DecodeDiscovered(*record);
-    session::DiscoveredBackend& held = discovered[record->id];
-    if (held == backend) {
+    session::DiscoveredBackend& stored = discovered[record->id];
+    if (stored == backend) {
       continue;
     }
-    held = std::move(backend);
+    stored = std::move(backend);
     items.push_back(NamedItem(FleetItem::Kind::kDiscovered, record->id));
   }
   if (!items.empty()) {
@@ -432,14 +434,14 @@
 
 OperationApplier::Outcome OperationApplier::Apply(
     const protocol::SetZoneEvacuationT& operation) {
-  // Between control machines a call may be sent twice, and its first copy come
-  // after an order that withdrew it.
+  // Control nodes may send a call to each other twice, and the second copy may
+  // arrive after a later order has reversed the first.
   if (auto first = FindFirstOutcome(operation.change_id, operation.digest)) {
     return std::move(*first);
   }
   SetEvacuation(operation);
   Outcome outcome = Done();
-  RememberChange(operation.change_id, operation.digest, outcome, {});
+  RecordChange(operation.change_id, operation.digest, outcome, {});
   return outcome;
 }
 
@@ -459,7 +461,7 @@
   state_.Commit({NamedItem(FleetItem::Kind::kEvacuation, operation.zone)});
 }
 
-// --- Requests under which back ends ended ------------------------------------
+// --- Requests that crashed backends ------------------------------------------
 
 OperationApplier::Outcome OperationApplier::Apply(
     const protocol::ReportCrashT& operation) {
@@ -472,20 +474,20 @@
     return Done();
   }
   if (!crashes.contains(request) && crashes.size() >= kMaximumCrashRecords) {
-    DropOldestCrash();
+    EvictOldestCrash();
   }
   CrashRecord& record = crashes[request];
-  const std::size_t known = record.ended_backends.size();
+  const std::size_t known_backends = record.ended_backends.size();
   for (const std::string& backend : operation.ended_backends) {
     if (record.ended_backends.size() < kMaximumEndedBackends) {
       record.ended_backends.insert(backend);
     }
   }
-  if (known == 0) {
+  if (known_backends == 0) {
     record.since = state_.wall_time_;
   }
   record.latest = state_.wall_time_;
-  if (record.ended_backends.size() != known) {
+  if (record.ended_backends.size() != known_backends) {
     CommitCrash(request);
   }
   return Done();
@@ -497,13 +499,14 @@
     Judge(operation);
     return Done();
   }
-  // A second copy of an order must not release what was quarantined since.
+  // A second copy of an order must not release a request that was quarantined
+  // after the first copy.
   if (auto first = FindFirstOutcome(operation.change_id, operation.digest)) {
     return std::move(*first);
   }
   Judge(operation);
   Outcome outcome = Done();
-  RememberChange(operation.change_id, operation.digest, outcome, {});
+  RecordChange(operation.change_id, operation.digest, outcome, {});
   return outcome;
 }
 
@@ -527,9 +530,10 @@
 void OperationApplier::ExpireCrashes() {
   CrashRecords& crashes = state_.fleet_.crashes;
   for (auto record = crashes.begin(); record != crashes.end();) {
-    const Duration kept =
-        record->second.quarantined ? kQuarantineTime : kSuspicionTime;
-    if (state_.wall_time_ - record->second.latest < kept) {
+    const Duration time_to_live = record->second.quarantined
+                                      ? kQuarantineTimeToLive
+                                      : kSuspicionTimeToLive;
+    if (state_.wall_time_ - record->second.latest < time_to_live) {
       ++record;
       continue;
     }
@@ -539,7 +543,7 @@
   }
 }
 
-void OperationApplier::DropOldestCrash() {
+void OperationApplier::EvictOldestCrash() {
   CrashRecords& crashes = state_.fleet_.crashes;
   const auto oldest =
       std::ranges::min_element(crashes, {}, [](const auto& entry) {
--- a/source/common/control/operation_applier.h
+++ b/source/common/control/operation_applier.h
@@ -1,5 +1,5 @@
-// Applies single operations of a command to the replicated state. Internal to
-// control_state.cc.
+// Applies the single operations of a command to the replicated state. Only
+// ControlState uses it, and creates one applier for each command.
 #pragma once
 
 #include <set>
@@ -10,18 +10,19 @@
 
 namespace juniperway::control {
 
+// Changes the state that its creator passes in and owns.
 class OperationApplier {
  public:
   explicit OperationApplier(ControlState& state) : state_(state) {}
 
   protocol::OperationResultT Apply(const protocol::OperationUnion& operation);
 
-  // Daemons that joined, left or were removed by the operations so far.
+  // Daemons whose membership the operations so far have changed.
   std::set<std::string> TakeChangedMembers() {
     return std::move(changed_members_);
   }
 
-  // Drops records of requests that were not reported again for long enough.
+  // Drops crash records whose time to live has passed since the last report.
   void ExpireCrashes();
 
  private:
@@ -44,31 +45,34 @@
   Outcome Apply(const protocol::StartRolloutT& operation);
   Outcome Apply(const protocol::AdvanceRolloutT& operation);
   Outcome Apply(const protocol::RemoveRolloutT& operation);
-  // @return kConflict when the service has another roll-out under way.
-  Result<void> BeginRollout(const protocol::StartRolloutT& operation);
-  // Of the service's roll-out and all its back ends: daemons see them change.
+  // @return kConflict when another rollout of the service is running.
+  Result<void> StartRollout(const protocol::StartRolloutT& operation);
+  // Commits a change of the service's rollout and of all its backends, whose
+  // role in the rollout daemons see.
   void CommitRollout(const std::string& service);
-  // Puts the order in force, or withdraws it.
+  // Starts or ends the evacuation of a zone.
   void SetEvacuation(const protocol::SetZoneEvacuationT& operation);
 
   void Judge(const protocol::JudgeCrashesT& operation);
-  // Makes room for one more record.
-  void DropOldestCrash();
+  // Evicts one record: the one with the oldest report, quarantined ones last.
+  void EvictOldestCrash();
   void CommitCrash(RequestFingerprint request);
 
-  // The first outcome of a change id that was seen before, if it was.
+  // The first outcome of a change id that was applied before. It is an error
+  // when that change had another digest.
   std::optional<Outcome> FindFirstOutcome(const std::string& change_id,
                                           std::uint64_t digest) const;
-  void RememberChange(const std::string& change_id, std::uint64_t digest,
-                      const Outcome& outcome,
-                      const std::vector<resources::ResourceId>& written);
+  void RecordChange(const std::string& change_id, std::uint64_t digest,
+                    const Outcome& outcome,
+                    const std::vector<resources::ResourceId>& written);
 
   Outcome WriteSet(std::vector<resources::Resource> set);
   Outcome Erase(const resources::ResourceId& id, resources::Revision version);
-  // Success at the state's revision.
+  // Success at the current revision of the state.
   Outcome Done() const;
   Outcome Refuse(const Error& error) const;
-  // Adds the current objects to a conflict.
+  // Adds the current resources to an outcome, so that the operator sees which
+  // versions conflict.
   void AttachCurrent(const std::vector<resources::ResourceId>& ids,
                      Outcome& outcome) const;
 
--- a/source/common/control/operation_applier_rollouts.cc
+++ b/source/common/control/operation_applier_rollouts.cc
@@ -1,4 +1,4 @@
-// What operations on roll-outs do to the replicated state.
+// The operations on rollouts.
 #include <string>
 #include <utility>
 #include <vector>
@@ -11,11 +11,11 @@
 using rollout::Rollout;
 using rollout::RolloutState;
 
-// An order that is sent again may come late, and without the change id of the
-// first one: the same order is not a new one for this long after the roll-out
-// has ended. Callers send an order again for less than the time in which it has
-// to be acknowledged, 10 s at most on the known deployments.
-constexpr Duration kResendTime = seconds(30);
+// A resent order may arrive late and without the change id of the first one.
+// For this long after the planned end of the rollout, the same order does not
+// start a new one. Operators resend an order within the time in which it must
+// be acknowledged, which is at most 10 s on the known deployments.
+constexpr Duration kOrderResendWindow = seconds(30);
 
 std::set<std::string> VersionsOf(const FleetStore& fleet,
                                  const std::string& service) {
@@ -28,13 +28,13 @@
   return versions;
 }
 
-// The order asks for what the roll-out has done, or does.
+// Whether the order repeats the one that started `rollout`.
 bool IsResend(const Rollout& rollout, const protocol::StartRolloutT& operation,
               WallTime now) {
   const bool same = rollout.target_version == operation.target_version &&
                     rollout.duration == Duration(operation.duration_us);
   const WallTime ended = rollout.ordered_at + rollout.duration;
-  return same && (rollout.running() || now < ended + kResendTime);
+  return same && (rollout.running() || now < ended + kOrderResendWindow);
 }
 
 }  // namespace
@@ -44,31 +44,31 @@
   if (auto first = FindFirstOutcome(operation.change_id, operation.digest)) {
     return std::move(*first);
   }
-  const auto begun = BeginRollout(operation);
-  Outcome outcome = begun ? Done() : Refuse(begun.error());
-  RememberChange(operation.change_id, operation.digest, outcome, {});
+  const auto started = StartRollout(operation);
+  Outcome outcome = started ? Done() : Refuse(started.error());
+  RecordChange(operation.change_id, operation.digest, outcome, {});
   return outcome;
 }
 
-Result<void> OperationApplier::BeginRollout(
+Result<void> OperationApplier::StartRollout(
     const protocol::StartRolloutT& operation) {
   auto& rollouts = state_.fleet_.rollouts;
-  const auto held = rollouts.find(operation.service);
-  if (held != rollouts.end()) {
-    if (IsResend(held->second, operation, state_.wall_time_)) {
+  const auto existing = rollouts.find(operation.service);
+  if (existing != rollouts.end()) {
+    if (IsResend(existing->second, operation, state_.wall_time_)) {
       return {};
     }
-    if (held->second.running()) {
+    if (existing->second.running()) {
       return MakeError(ErrorCode::kConflict, "service",
-                       "a roll-out to version " + held->second.target_version +
-                           " is under way");
+                       "a rollout to version " +
+                           existing->second.target_version + " is running");
     }
   }
   Rollout rollout;
   rollout.number = state_.revision_ + 1;
   rollout.target_version = operation.target_version;
   rollout.replaced_versions = VersionsOf(state_.fleet_, operation.service);
-  const bool is_there =
+  const bool target_is_listed =
       rollout.replaced_versions.erase(rollout.target_version) > 0;
   rollout.ordered_at = state_.wall_time_;
   rollout.duration = Duration(operation.duration_us);
@@ -76,9 +76,9 @@
   rollout.share_permille = operation.share_permille;
   rollout.base_share_permille = operation.share_permille;
   rollout.change_id = operation.change_id;
-  if (is_there && rollout.replaced_versions.empty()) {
-    // Nothing else runs: holding it back would leave the service without back
-    // ends.
+  if (target_is_listed && rollout.replaced_versions.empty()) {
+    // All backends run the target version. Limiting them as canaries would
+    // leave the service without backends.
     rollout.state = RolloutState::kComplete;
   }
   rollouts[operation.service] = std::move(rollout);
@@ -116,7 +116,7 @@
     CommitRollout(operation.service);
   }
   Outcome outcome = Done();
-  RememberChange(operation.change_id, operation.digest, outcome, {});
+  RecordChange(operation.change_id, operation.digest, outcome, {});
   return outcome;
 }
 
--- a/source/common/control/resource_rules.cc
+++ b/source/common/control/resource_rules.cc
@@ -13,7 +13,7 @@
 using resources::Resource;
 using resources::ResourceId;
 
-// One check of a whole set; holds what the set itself would add.
+// Checks one set. References may also lead to other resources of the same set.
 class ApplyCheck {
  public:
   ApplyCheck(const FleetStore& store, const std::vector<Resource>& set)
@@ -37,22 +37,22 @@
   }
 
  private:
-  tl::unexpected<Error> Fault(ErrorCode code, const std::string& field,
-                              std::string message) const {
+  tl::unexpected<Error> MakeFieldError(ErrorCode code, const std::string& field,
+                                       std::string message) const {
     return MakeError(code, prefix_ + field, std::move(message));
   }
 
   Result<void> CheckVersion(const Resource& resource) const {
     if (staged_.contains(resource.id)) {
-      return Fault(ErrorCode::kInvalidArgument, "name",
-                   "the set holds this resource twice");
+      return MakeFieldError(ErrorCode::kInvalidArgument, "name",
+                            "the set contains this resource twice");
     }
     const Resource* current = store_.Find(resource.id);
     const resources::Revision version =
         current == nullptr ? 0 : current->version;
     if (version != resource.version) {
-      return Fault(ErrorCode::kConflict, "version",
-                   "current version is " + std::to_string(version));
+      return MakeFieldError(ErrorCode::kConflict, "version",
+                            "current version is " + std::to_string(version));
     }
     return {};
   }
@@ -71,8 +71,8 @@
   Result<void> CheckService(const std::string& service) const {
     const ResourceId id{Kind::kService, service};
     if (!staged_.contains(id) && store_.Find(id) == nullptr) {
-      return Fault(ErrorCode::kInvalidArgument, "spec.service",
-                   "there is no Service " + service);
+      return MakeFieldError(ErrorCode::kInvalidArgument, "spec.service",
+                            "there is no Service " + service);
     }
     return {};
   }
@@ -81,17 +81,17 @@
     if (auto result = CheckService(backend.service); !result) {
       return result;
     }
-    auto [taken, inserted] = addresses_.try_emplace(backend.address, name);
+    auto [claimed, inserted] = addresses_.try_emplace(backend.address, name);
     std::string holder =
-        inserted ? store_.BackendAt(backend.address) : taken->second;
-    // A back end of the set that moves away frees its address.
+        inserted ? store_.BackendAt(backend.address) : claimed->second;
+    // When the set gives a backend another address, its old address is free.
     const bool staged = staged_.contains({Kind::kBackend, holder});
     if (inserted && staged) {
       holder.clear();
     }
     if (!holder.empty() && holder != name) {
-      return Fault(ErrorCode::kInvalidArgument, "spec.address",
-                   "is the address of Backend " + holder);
+      return MakeFieldError(ErrorCode::kInvalidArgument, "spec.address",
+                            "is already the address of Backend " + holder);
     }
     return {};
   }
@@ -111,9 +111,9 @@
     }
     resources::IndexVersion& published = published_[snapshot.service];
     if (snapshot.index_version <= published) {
-      return Fault(ErrorCode::kInvalidArgument, "spec.index_version",
-                   "must be above " + std::to_string(published) +
-                       ", the highest one published");
+      return MakeFieldError(ErrorCode::kInvalidArgument, "spec.index_version",
+                            "must be above " + std::to_string(published) +
+                                ", the highest one published");
     }
     published = snapshot.index_version;
     return {};
@@ -125,24 +125,26 @@
       const KeyRange& range = snapshot.partitions[i].range;
       const std::string field = "spec.partitions[" + std::to_string(i) + "]";
       if (range.begin != expected) {
-        return Fault(ErrorCode::kInvalidArgument, field + ".begin",
-                     "must be " + std::to_string(expected) +
-                         ", where the one before ends");
+        return MakeFieldError(ErrorCode::kInvalidArgument, field + ".begin",
+                              "must be " + std::to_string(expected) +
+                                  ", where the one before ends");
       }
       if (range.empty()) {
-        return Fault(ErrorCode::kInvalidArgument, field + ".end",
-                     "must be above begin");
+        return MakeFieldError(ErrorCode::kInvalidArgument, field + ".end",
+                              "must be above begin");
       }
       expected = range.end;
     }
     if (expected != kKeySpaceEnd) {
-      return Fault(ErrorCode::kInvalidArgument, "spec.partitions",
-                   "must cover all keys up to " + std::to_string(kKeySpaceEnd));
+      return MakeFieldError(
+          ErrorCode::kInvalidArgument, "spec.partitions",
+          "must cover all keys up to " + std::to_string(kKeySpaceEnd));
     }
     return {};
   }
 
-  // Queries are pinned to a snapshot by number: what it means never changes.
+  // Queries refer to a snapshot by its index version, so the content of a
+  // snapshot must not change.
   Result<void> CheckUnchanged(const IndexSnapshot& current,
                               const IndexSnapshot& snapshot) const {
     bool same = current.service == snapshot.service &&
@@ -153,8 +155,9 @@
              current.partitions[i].shard == snapshot.partitions[i].shard;
     }
     if (!same) {
-      return Fault(ErrorCode::kInvalidArgument, "spec",
-                   "an IndexSnapshot cannot change; publish a new one");
+      return MakeFieldError(
+          ErrorCode::kInvalidArgument, "spec",
+          "an IndexSnapshot cannot change; publish a new one");
     }
     return {};
   }
@@ -169,18 +172,18 @@
 
 Result<void> CheckUnused(const FleetStore& store, const Resource& resource) {
   const std::string& name = resource.id.name;
-  const auto in_use = [](const std::string& by) {
+  const auto make_in_use_error = [](const std::string& by) {
     return MakeError(ErrorCode::kInvalidArgument, "name",
                      "is still used by " + by);
   };
   if (resource.id.kind == Kind::kService) {
     const auto& backends = store.BackendsOf(name);
     if (!backends.empty()) {
-      return in_use("Backend " + *backends.begin());
+      return make_in_use_error("Backend " + *backends.begin());
     }
     const auto& snapshots = store.SnapshotsOf(name);
     if (!snapshots.empty()) {
-      return in_use("IndexSnapshot " + snapshots.begin()->second);
+      return make_in_use_error("IndexSnapshot " + snapshots.begin()->second);
     }
   }
   if (resource.id.kind == Kind::kIndexSnapshot) {
@@ -189,7 +192,8 @@
     const bool is_serving = serving != store.serving.end() &&
                             serving->second == snapshot.index_version;
     if (is_serving && !store.BackendsOf(snapshot.service).empty()) {
-      return in_use("Service " + snapshot.service + ", which serves it");
+      return make_in_use_error("Service " + snapshot.service +
+                               ", which serves it");
     }
   }
   return {};
--- a/source/common/control/resource_rules.h
+++ b/source/common/control/resource_rules.h
@@ -1,5 +1,6 @@
-// Rules that a change of resources must keep beyond the shape of each resource:
-// versions, references between resources, partition maps, index versions.
+// Checks a change of resources against the stored resources: versions,
+// references between resources, partition maps and index versions. The
+// functions of resources/validation.h check each single resource before.
 #pragma once
 
 #include <vector>
@@ -9,15 +10,17 @@
 
 namespace juniperway::control {
 
-// Checks a set of resources that is to be written as one. Each resource's
-// `version` is the one its writer saw (0: it must not exist yet).
-// @return kConflict when one of them changed since (the first such one is named
-//   by `field`), else kInvalidArgument with the field that breaks a rule.
+// Checks a set of resources that is written atomically. The `version` of each
+// resource is the one that the operator read (0: it must not exist yet).
+// @return kConflict when a resource has changed since then; `field` names the
+//   first such resource. Else kInvalidArgument with the field that breaks a
+//   rule.
 Result<void> CheckApply(const FleetStore& store,
                         const std::vector<resources::Resource>& set);
 
 // Checks the removal of one resource at `version`.
-// @return kNotFound, kConflict, or kInvalidArgument when it is still in use.
+// @return kNotFound, kConflict, or kInvalidArgument when the resource is still
+//   in use.
 Result<void> CheckDelete(const FleetStore& store,
                          const resources::ResourceId& id,
                          resources::Revision version);
--- a/source/common/control/rollout_record.h
+++ b/source/common/control/rollout_record.h
@@ -1,4 +1,5 @@
-// Roll-outs to and from their records in snapshots.
+// Converts rollouts to and from their records in snapshots of the replicated
+// state. Times and durations in a record are in microseconds.
 #pragma once
 
 #include <string>
--- a/test/unit/control/crash_record_test.cc
+++ b/test/unit/control/crash_record_test.cc
@@ -1,4 +1,4 @@
-// Requests under which back ends ended, in the replicated state.
+// Tests the crash records in the replicated state.
 #include "common/control/crash_record.h"
 
 #include <doctest/doctest.h>
@@ -30,7 +30,7 @@
   Apply(state, std::move(report), at);
 }
 
-void Survive(ControlState& state, RequestFingerprint request) {
+void ReportSurvival(ControlState& state, RequestFingerprint request) {
   protocol::ReportCrashT report;
   report.fingerprint = request.value;
   report.survived = true;
@@ -51,7 +51,7 @@
   return *view;
 }
 
-TEST_CASE("reports of several routers add up, a second copy adds nothing") {
+TEST_CASE("reports of several routers add up, and a second copy adds nothing") {
   ControlState state;
   Report(state, kRequest, {"a", "b"});
   Report(state, kRequest, {"b", "c"});
@@ -60,11 +60,11 @@
   CHECK(state.revision() == revision);
   CHECK(state.fleet().crashes.at(kRequest).ended_backends ==
         std::set<std::string>{"a", "b", "c"});
-  Survive(state, kRequest);
+  ReportSurvival(state, kRequest);
   CHECK(state.fleet().crashes.empty());
 }
 
-TEST_CASE("daemons learn of suspicions, verdicts and releases") {
+TEST_CASE("daemons get suspicions, quarantines and releases in updates") {
   ControlState state;
   Report(state, kRequest, {"a", "b", "c"}, seconds(5));
   auto view = ViewOf(state, std::make_shared<session::FleetView>());
@@ -77,7 +77,7 @@
   Quarantine(state, kRequest, seconds(6));
   view = ViewOf(state, view);
   CHECK(view->crashing_requests.find(kRequest)->second.quarantined);
-  // One that starts now gets it with its first view.
+  // A daemon that starts now gets the quarantine with its first view.
   const auto first = ViewOf(state, std::make_shared<session::FleetView>());
   CHECK(first->crashing_requests.find(kRequest)->second.quarantined);
   protocol::JudgeCrashesT judgement;
@@ -88,7 +88,7 @@
         view->crashing_requests.end());
 }
 
-TEST_CASE("a second copy of a release does not undo a later quarantine") {
+TEST_CASE("a second copy of a release does not end a later quarantine") {
   ControlState state;
   protocol::JudgeCrashesT order;
   order.change_id = "r1";
@@ -103,7 +103,7 @@
   CHECK(state.fleet().crashes.at(kRequest).quarantined);
 }
 
-TEST_CASE("a snapshot holds them") {
+TEST_CASE("a snapshot contains crash records") {
   ControlState state;
   Report(state, kRequest, {"a", "b", "c"});
   Quarantine(state, kRequest);
@@ -115,19 +115,20 @@
         std::set<std::string>{"d"});
 }
 
-TEST_CASE("a suspicion and a quarantine end without further reports") {
+TEST_CASE("a suspicion and a quarantine expire without further reports") {
   ControlState state;
   Report(state, kRequest, {"a", "b", "c"});
   Quarantine(state, kRequest);
   Report(state, {8}, {"d"});
-  Report(state, {9}, {"e"}, seconds(1) + kSuspicionTime);
+  Report(state, {9}, {"e"}, seconds(1) + kSuspicionTimeToLive);
   CHECK(state.fleet().crashes.contains(kRequest));
   CHECK_FALSE(state.fleet().crashes.contains({8}));
-  Report(state, {9}, {"e"}, seconds(1) + kQuarantineTime);
+  Report(state, {9}, {"e"}, seconds(1) + kQuarantineTimeToLive);
   CHECK_FALSE(state.fleet().crashes.contains(kRequest));
 }
 
-TEST_CASE("what is kept is bounded, and quarantined requests go last") {
+TEST_CASE(
+    "the records are bounded, and quarantined requests are evicted last") {
   ControlState state;
   Report(state, kRequest, {"a"});
   Quarantine(state, kRequest);
--- a/test/unit/control/evacuation_test.cc
+++ b/test/unit/control/evacuation_test.cc
@@ -1,4 +1,4 @@
-// Orders to evacuate zones in the replicated state.
+// Tests zone evacuations in the replicated state.
 #include <doctest/doctest.h>
 
 #include <string>
@@ -42,7 +42,8 @@
   CHECK(state.fleet().evacuations.empty());
 }
 
-TEST_CASE("a second copy of an order that was withdrawn changes nothing") {
+TEST_CASE(
+    "a second copy of an order that a later one reversed changes nothing") {
   ControlState state;
   Order(state, "c1", "z", true);
   Order(state, "c2", "z", false);
@@ -52,7 +53,7 @@
   CHECK(state.fleet().evacuations.empty());
 }
 
-TEST_CASE("daemons learn of evacuations, whole and as changes") {
+TEST_CASE("daemons get evacuations in full views and in updates") {
   ControlState state;
   Order(state, "c1", "y", true);
   auto view = ViewOf(state, std::make_shared<session::FleetView>());
@@ -65,7 +66,7 @@
   CHECK(view->evacuations.find("z") != view->evacuations.end());
 }
 
-TEST_CASE("a snapshot holds the orders and the changes that made them") {
+TEST_CASE("a snapshot contains the evacuations and their change ids") {
   ControlState state;
   Order(state, "c1", "y", true);
   Order(state, "c2", "z", true);
--- a/test/unit/control/rollout_test.cc
+++ b/test/unit/control/rollout_test.cc
@@ -1,4 +1,4 @@
-// Roll-outs in the replicated state, and what daemons see of them.
+// Tests rollouts in the replicated state and in the views of daemons.
 #include <doctest/doctest.h>
 
 #include <string>
@@ -79,14 +79,14 @@
   return found->second;
 }
 
-TEST_CASE("without a roll-out daemons get no versions") {
+TEST_CASE("without a rollout daemons get no versions") {
   ControlState state;
   List(state, "a", "v1");
   CHECK(state.fleet().discovered.at("a").version == "v1");
   CHECK(Find(ViewOf(state), "a").version.empty());
 }
 
-TEST_CASE("back ends of the target version are canaries, also later ones") {
+TEST_CASE("backends of the target version are canaries, also later ones") {
   ControlState state;
   List(state, "a", "v1");
   const auto before = ViewOf(state);
@@ -102,7 +102,8 @@
   }
 }
 
-TEST_CASE("a version that is rolled back gets nothing, an older view neither") {
+TEST_CASE(
+    "backends of a version that is rolled back drain, also in an older view") {
   ControlState state;
   List(state, "a", "v1");
   Order(state, "c1", "v2");
@@ -119,7 +120,8 @@
   }
 }
 
-TEST_CASE("replaced versions get nothing, and later versions do") {
+TEST_CASE(
+    "backends of replaced versions drain, and those of later versions do not") {
   ControlState state;
   List(state, "a", "v1");
   Order(state, "c1", "v2");
@@ -136,7 +138,7 @@
   CHECK_FALSE(Find(view, "d").draining);
 }
 
-TEST_CASE("the same order again changes nothing, another one is refused") {
+TEST_CASE("a resent order changes nothing, and another one is refused") {
   ControlState state;
   List(state, "a", "v1");
   const auto first = Order(state, "c1", "v2");
@@ -146,7 +148,7 @@
   const auto other = Order(state, "c3", "v3");
   REQUIRE(other.error);
   CHECK(other.error->code == static_cast<std::uint8_t>(ErrorCode::kConflict));
-  // Also once it has ended, for as long as an order may be on its way.
+  // The same holds after the rollout has ended, while a resend may arrive.
   Advance(state, RolloutState::kRolledBack, RolloutPhase::kObserving, 0);
   CHECK_FALSE(Order(state, "c4", "v2", 20).error);
   CHECK(state.fleet().rollouts.at("s").state == RolloutState::kRolledBack);
@@ -154,7 +156,7 @@
   CHECK(state.fleet().rollouts.at("s").running());
 }
 
-TEST_CASE("a version that is the only one needs no roll-out") {
+TEST_CASE("a rollout to the only listed version is complete at once") {
   ControlState state;
   List(state, "a", "v2");
   Order(state, "c1", "v2");
@@ -163,7 +165,7 @@
   CHECK_FALSE(Find(ViewOf(state), "a").draining);
 }
 
-TEST_CASE("steps of an earlier roll-out change nothing") {
+TEST_CASE("a step for another rollout number changes nothing") {
   ControlState state;
   List(state, "a", "v1");
   Order(state, "c1", "v2");
@@ -175,7 +177,7 @@
   CHECK(state.fleet().rollouts.at("s").running());
 }
 
-TEST_CASE("a snapshot holds roll-outs and versions") {
+TEST_CASE("a snapshot contains rollouts and versions") {
   ControlState state;
   List(state, "a", "v1");
   Order(state, "c1", "v2");
@@ -186,7 +188,7 @@
   CHECK(restored->fleet().discovered == state.fleet().discovered);
 }
 
-TEST_CASE("a roll-out that is removed leaves no trace for daemons") {
+TEST_CASE("daemons see neither a removed rollout nor versions") {
   ControlState state;
   List(state, "a", "v1");
   Order(state, "c1", "v2");
