--- a/source/common/control/leader_role.cc
+++ b/source/common/control/leader_role.cc
@@ -49,13 +49,13 @@
 
 LeaderRole::~LeaderRole() { *alive_ = false; }
 
-void LeaderRole::NotePools(const raft::Status& status, MonotonicTime now) {
+void LeaderRole::RecordPools(const raft::Status& status, MonotonicTime now) {
   for (const raft::Member& member : raft::AllMembers(status.configuration)) {
     pools_[PoolName(member.id)] = now;
   }
 }
 
-std::set<std::string> LeaderRole::Pools(MonotonicTime now) const {
+std::set<std::string> LeaderRole::PoolsWithTokens(MonotonicTime now) const {
   std::set<std::string> pools;
   for (const auto& [name, seen] : pools_) {
     if (now - seen < 2 * quota::kRateLease) {
@@ -66,7 +66,7 @@
 }
 
 void LeaderRole::Update(const raft::Status& status, MonotonicTime now) {
-  NotePools(status, now);
+  RecordPools(status, now);
   const bool leads = status.role == raft::Role::kLeader;
   if (pipeline_term_ != 0 && (!leads || status.term != pipeline_term_)) {
     pipeline_term_ = 0;
@@ -82,12 +82,13 @@
     return;
   }
   pipeline_term_ = status.term;
-  // Holding the leader lease implies that an entry of this term was applied.
+  // A node that holds the leader lease has applied an entry of this term.
   if (!leases_.active() && ports_.has_leader_lease(now)) {
     const ControlState& state = ports_.state();
     leases_.Start(status.term, state.revision(), state.fleet().members, now);
-    leases_.Learn(announced_in_force_, announced_zones_);
-    tenant_quotas_.Start(status.term, state.fleet().members, Pools(now), now);
+    leases_.MergeWatermarks(announced_in_force_, announced_zones_);
+    tenant_quotas_.Start(status.term, state.fleet().members,
+                         PoolsWithTokens(now), now);
     logging::LogEvent(kLeasesStarted,
                       {{"node", status.id},
                        {"term", status.term},
@@ -178,7 +179,8 @@
       rollout_judge_.OnReport(item.daemon_id, item.incarnation,
                               session::DecodeAnswerReports(heartbeat),
                               ports_.state().fleet().rollouts, now);
-      // It learned of this leader before, and has made all its reports again.
+      // The daemon knew this leader before it sent the heartbeat, so it has
+      // sent all its reports to this leader.
       if (heartbeat.term == leases_.term()) {
         rollout_judge_.OnHeard(item.daemon_id);
       }
@@ -260,8 +262,8 @@
             return;
           }
           if (!result) {
-            // A leader that keeps on leading must not forget it: the table
-            // names each removal once.
+            // The lease table returns each removal only once, so the leader
+            // keeps it for the next Tick.
             removals_.push_back(daemon);
             return;
           }
@@ -274,7 +276,7 @@
 
 void LeaderRole::JudgeCrashes(MonotonicTime now) {
   const FleetStore& fleet = ports_.state().fleet();
-  if (judgement_under_way_ || fleet.crashes.empty()) {
+  if (crash_decision_in_flight_ || fleet.crashes.empty()) {
     return;
   }
   const CrashJudge::Judgement judgement = crash_judge_.Judge(
@@ -298,14 +300,14 @@
     operation.release.push_back(request.value);
     logging::LogEvent(kRequestReleased,
                       {{"fingerprint", ToText(request)},
-                       {"reason", "its back ends are still listed"}});
+                       {"reason", "discovery still lists its backends"}});
   }
-  judgement_under_way_ = true;
+  crash_decision_in_flight_ = true;
   Submit(OneOperation(std::move(operation)),
          [this, alive = alive_](const Result<OperationResults>&) {
-           // After a failure the next Tick judges anew.
+           // After a failure, the next Tick evaluates the crashes again.
            if (*alive) {
-             judgement_under_way_ = false;
+             crash_decision_in_flight_ = false;
            }
          });
 }
@@ -332,7 +334,7 @@
           }};
   for (const rollout::NamedStep& due :
        rollout_judge_.TakeSteps(fleet.rollouts, facts, now)) {
-    if (!rollout_steps_under_way_.insert(due.service).second) {
+    if (!rollout_steps_in_flight_.insert(due.service).second) {
       continue;
     }
     protocol::AdvanceRolloutT operation;
@@ -343,8 +345,9 @@
     operation.share_permille = due.step.share_permille;
     operation.reason = due.step.reason;
     operation.canary_answers = due.evidence.canary_answers;
-    const bool undone = due.step.state == rollout::RolloutState::kRolledBack;
-    logging::LogEvent(undone ? kRolloutUndone : kRolloutAdvanced,
+    const bool is_rolled_back =
+        due.step.state == rollout::RolloutState::kRolledBack;
+    logging::LogEvent(is_rolled_back ? kRolloutUndone : kRolloutAdvanced,
                       {{"service", due.service},
                        {"rollout", due.rollout},
                        {"state", rollout::NameOf(due.step.state)},
@@ -360,9 +363,9 @@
     Submit(OneOperation(std::move(operation)),
            [this, alive = alive_,
             service = due.service](const Result<OperationResults>&) {
-             // After a failure the next Tick proposes it anew.
+             // After a failure, the next Tick proposes the step again.
              if (*alive) {
-               rollout_steps_under_way_.erase(service);
+               rollout_steps_in_flight_.erase(service);
              }
            });
   }
@@ -372,7 +375,8 @@
   for (const raft::Progress& progress : ports_.raft_status().progress) {
     const bool ready = !progress.voter && progress.active &&
                        progress.caught_up && !progress.regressed;
-    // Refused while another change is pending: the next Tick tries again.
+    // The group refuses a promotion while another change is pending; the next
+    // Tick proposes it again.
     if (ready && ports_.promote_learner(progress.member.id)) {
       logging::LogEvent(kMemberPromoted, {{"node", progress.member.id},
                                           {"match", progress.match}});
@@ -385,7 +389,8 @@
   if (!step) {
     return;
   }
-  // Refused while another change is pending: the next Tick tries again.
+  // The group refuses a step while another change is pending; the next Tick
+  // proposes it again.
   if (const auto* promote = std::get_if<PromoteStep>(&*step)) {
     if (ports_.promote_learner(promote->id)) {
       logging::LogEvent(kMemberPromoted, {{"node", promote->id}});
@@ -407,8 +412,8 @@
 }
 
 void LeaderRole::FlushOperations(WallTime now) {
-  // Proposals of an earlier term must be failed before their places in the log
-  // are taken by new ones.
+  // Proposals of an earlier term must fail before new proposals take their log
+  // indexes.
   const raft::Status status = ports_.raft_status();
   const bool same_term = status.term == pipeline_term_;
   if (status.role != raft::Role::kLeader || !same_term) {
@@ -420,28 +425,29 @@
 }
 
 void LeaderRole::OnDiscoveryList(const DiscoveryList& list) {
-  if (!leases_.active() || discovery_update_under_way_) {
+  if (!leases_.active() || discovery_update_in_flight_) {
     return;
   }
-  const auto& held = ports_.state().fleet().discovered;
+  const auto& stored = ports_.state().fleet().discovered;
   protocol::UpdateDiscoveredT operation;
-  std::size_t starts_ignored = 0;
+  std::size_t ignored_starts = 0;
   for (const auto& [id, listed] : list) {
-    const auto known = held.find(id);
+    const auto known = stored.find(id);
     session::DiscoveredBackend backend = listed;
-    if (known != held.end()) {
+    if (known != stored.end()) {
       backend.start = ReconcileStart(known->second.start, listed.start);
-      const bool is_given = listed.start != WallTime{};
-      starts_ignored += is_given && backend.start != listed.start ? 1 : 0;
+      const bool has_listed_start = listed.start != WallTime{};
+      ignored_starts +=
+          has_listed_start && backend.start != listed.start ? 1 : 0;
     }
-    if (known == held.end() || known->second != backend) {
+    if (known == stored.end() || known->second != backend) {
       operation.backends.push_back(
           std::make_unique<protocol::DiscoveredBackendRecordT>(
               session::EncodeDiscovered(backend)));
     }
   }
-  NoteStartsIgnored(starts_ignored);
-  for (const auto& [id, backend] : held) {
+  LogIgnoredStarts(ignored_starts);
+  for (const auto& [id, backend] : stored) {
     if (!list.contains(id)) {
       operation.removed.push_back(id);
     }
@@ -449,7 +455,7 @@
   if (operation.backends.empty() && operation.removed.empty()) {
     return;
   }
-  discovery_update_under_way_ = true;
+  discovery_update_in_flight_ = true;
   const std::size_t changed = operation.backends.size();
   const std::size_t removed = operation.removed.size();
   Submit(OneOperation(std::move(operation)),
@@ -458,8 +464,8 @@
            if (!*alive) {
              return;
            }
-           // After a failure the next reading tries again.
-           discovery_update_under_way_ = false;
+           // After a failure, the next discovery list is proposed.
+           discovery_update_in_flight_ = false;
            if (result) {
              logging::LogEvent(kDiscoveryChanged, {{"changed", changed},
                                                    {"removed", removed},
@@ -468,14 +474,15 @@
          });
 }
 
-void LeaderRole::NoteStartsIgnored(std::size_t backends) {
-  if (std::exchange(starts_ignored_, backends) != backends && backends > 0) {
+void LeaderRole::LogIgnoredStarts(std::size_t backends) {
+  if (std::exchange(ignored_start_count_, backends) != backends &&
+      backends > 0) {
     logging::LogEvent(kBackendStartIgnored, {{"backends", backends}});
   }
 }
 
 void LeaderRole::OnPlatformList(const PlatformList& list) {
-  if (!leases_.active() || platform_update_under_way_) {
+  if (!leases_.active() || platform_update_in_flight_) {
     return;
   }
   const FleetStore& fleet = ports_.state().fleet();
@@ -489,15 +496,15 @@
   }
   protocol::SetPlatformLeavingT operation;
   operation.names.assign(leaving.begin(), leaving.end());
-  platform_update_under_way_ = true;
+  platform_update_in_flight_ = true;
   Submit(OneOperation(std::move(operation)),
          [this, alive = alive_,
           count = leaving.size()](const Result<OperationResults>& result) {
            if (!*alive) {
              return;
            }
-           // After a failure the next poll tries again.
-           platform_update_under_way_ = false;
+           // After a failure, the next platform list is proposed.
+           platform_update_in_flight_ = false;
            if (result) {
              logging::LogEvent(kPlatformListChanged, {{"leaving", count}});
            }
--- a/source/common/control/leader_role.h
+++ b/source/common/control/leader_role.h
@@ -1,7 +1,9 @@
-// What a control machine does only while it leads: it keeps the lease table,
-// moves the watermarks, proposes operations, removes daemons whose lease ran
-// out, and promotes control machines that have caught up. Every call names the
-// time; the log, the state and the network are reached through ports.
+// The duties of a control node while it leads the control group: it grants
+// leases, advances the watermarks, proposes operations, removes daemons whose
+// lease expired, promotes learners that have caught up, quarantines crashing
+// requests and advances rollouts. Each control node owns one LeaderRole, also
+// while it follows. The class does no I/O: calls take the time as an argument,
+// and ports give access to the log, the state and the network.
 #pragma once
 
 #include <functional>
@@ -34,23 +36,23 @@
     std::function<bool(MonotonicTime)> has_leader_lease;
     CommandPipeline::Propose propose;
     std::function<Result<raft::Fsm::Proposal>(raft::NodeId)> promote_learner;
-    // Used by member repair only.
+    // Called only when member repair is enabled.
     std::function<Result<raft::Fsm::Proposal>(raft::NodeId)> remove_member;
-    // A watermark grew.
+    // Publishes the watermarks to the group after one grew.
     std::function<void(resources::Revision in_force,
                        const std::map<std::string, resources::Revision>& zones)>
         announce;
-    // Operations were queued: FlushOperations() is to be called soon.
+    // Operations were queued. The owner calls FlushOperations() soon.
     std::function<void()> on_queued;
-    // Something moved the watermarks perhaps: Advance() is to be called soon.
+    // A watermark may have grown. The owner calls Advance() soon.
     std::function<void()> on_confirmed;
   };
 
   struct Options {
     LeaseTable::Options leases;
-    // How far the fleet may go beyond tenants' limits.
+    // How far the fleet may exceed the limits of tenants.
     quota::RateTolerance tenant_tolerance;
-    // What a version that turns out bad may be sent.
+    // Bounds the requests that a faulty canary version may receive.
     rollout::ExposureLimit exposure;
   };
 
@@ -59,42 +61,44 @@
   LeaderRole(const LeaderRole&) = delete;
   LeaderRole& operator=(const LeaderRole&) = delete;
 
-  // From now on the group replaces lost control machines by itself. Otherwise
-  // each learner is promoted as soon as it is ready, and operators remove.
+  // Lets the group replace lost control nodes by itself. Without repair, the
+  // leader promotes each learner as soon as it is ready, and operators remove
+  // members.
   void EnableMemberRepair(const MemberRepair::Options& options) {
     repair_.emplace(options);
   }
 
-  // The consensus status may have changed.
+  // Starts or stops leading when the consensus status has changed.
   void Update(const raft::Status& status, MonotonicTime now);
 
-  // An entry was applied; `applied` is what its command did (empty for entries
-  // without one).
+  // Handles an applied log entry.
+  // @param applied the effect of its command; empty for entries without one.
   void OnApplied(const raft::Entry& entry, AppliedCommand applied,
                  MonotonicTime now);
 
-  // Answers heartbeats; with "no leader" unless this machine leads for certain.
+  // Answers heartbeats, with kNoLeader unless IsLeading(now).
   HeartbeatReplies OnHeartbeats(const Heartbeats& heartbeats,
                                 MonotonicTime now);
   void OnGoodbye(const DaemonKey& daemon);
-  // Watermarks that another leader announced: kept for the day this machine
-  // leads, so that what was said to be in force stays so.
+  // Stores the watermarks that another leader announced. When this node becomes
+  // the leader, its watermarks start from them, so that they never decrease.
   void OnAnnounced(resources::Revision in_force,
                    const std::map<std::string, resources::Revision>& zones);
 
-  // Proposes the operations with the next flush.
+  // Queues the operations for the next FlushOperations().
   void Submit(Operations operations, CommandPipeline::Callback callback);
   void FlushOperations(WallTime now);
 
-  // Moves the watermarks and announces them if they grew.
+  // Advances the watermarks and announces them if they grew.
   void Advance(MonotonicTime now);
-  // To be called a few times a second.
+  // Does the periodic work. The owner calls it several times per second.
   void Tick(MonotonicTime now);
   void OnPlatformList(const PlatformList& list);
-  // A reading of the discovery list: what differs from the state is proposed.
+  // Proposes the differences between the discovery list and the state.
   void OnDiscoveryList(const DiscoveryList& list);
 
-  // Leads for certain: reads are linearizable and leases may be given.
+  // Whether this node holds the leader lease: reads are linearizable, and it
+  // may grant leases.
   bool IsLeading(MonotonicTime now) const;
   const LeaseTable& leases() const { return leases_; }
   const rollout::RolloutJudge& rollouts() const { return rollout_judge_; }
@@ -102,47 +106,50 @@
  private:
   protocol::HeartbeatReplyT AnswerHeartbeat(
       const protocol::MemberHeartbeatT& item, MonotonicTime now);
-  // Remembers the control machines of the group.
-  void NotePools(const raft::Status& status, MonotonicTime now);
-  // Pools that may hold tokens: of the group's machines, and of those that left
-  // it less than a lease of theirs ago.
-  std::set<std::string> Pools(MonotonicTime now) const;
+  // Records that the pools of the group's control nodes exist at `now`.
+  void RecordPools(const raft::Status& status, MonotonicTime now);
+  // Pools that may hold tokens: those of the group's control nodes, and of
+  // control nodes that left the group less than two rate leases ago.
+  std::set<std::string> PoolsWithTokens(MonotonicTime now) const;
   protocol::HeartbeatReplyT AnswerPool(const protocol::MemberHeartbeatT& item,
                                        MonotonicTime now);
   void ProposeRemovals();
   void PromoteLearners();
   void RepairMembers(MonotonicTime now);
-  // Quarantines requests that are to blame for crashes, and releases others.
+  // Quarantines requests that crashes are attributed to, and releases requests
+  // whose backends are still running.
   void JudgeCrashes(MonotonicTime now);
-  // Moves roll-outs on that are under way.
+  // Proposes the next steps of the running rollouts.
   void AdvanceRollouts(MonotonicTime now);
-  // Back ends whose listed start lies before the known one, of one reading.
-  void NoteStartsIgnored(std::size_t backends);
+  // Logs the number of backends in one discovery list whose listed start was
+  // ignored, when that number changes.
+  void LogIgnoredStarts(std::size_t backends);
 
   Duration lease_;
   Ports ports_;
   LeaseTable leases_;
   TenantQuotas tenant_quotas_;
-  // When each control machine's pool was last seen in the group, by its name.
+  // When the pool of each control node was last in the group, by pool name.
   std::map<std::string, MonotonicTime> pools_;
   CommandPipeline pipeline_;
-  // Term whose proposals the pipeline holds; 0: none.
+  // Term of the proposals in the pipeline; 0: none.
   raft::Term pipeline_term_ = 0;
-  // Daemons that the lease table wants removed, not proposed yet.
+  // Daemons that the lease table returned for removal, not proposed yet.
   std::vector<DaemonKey> removals_;
-  bool platform_update_under_way_ = false;
-  bool discovery_update_under_way_ = false;
-  std::size_t starts_ignored_ = 0;
+  bool platform_update_in_flight_ = false;
+  bool discovery_update_in_flight_ = false;
+  std::size_t ignored_start_count_ = 0;
   CrashJudge crash_judge_;
-  bool judgement_under_way_ = false;
+  bool crash_decision_in_flight_ = false;
   rollout::RolloutJudge rollout_judge_;
-  // Services whose roll-out has a step that is proposed and not applied yet.
-  std::set<std::string> rollout_steps_under_way_;
+  // Services with a rollout step that is proposed and not applied yet.
+  std::set<std::string> rollout_steps_in_flight_;
   std::optional<MemberRepair> repair_;
   // Highest watermarks that this or another leader announced.
   resources::Revision announced_in_force_ = 0;
   std::map<std::string, resources::Revision> announced_zones_;
-  // Callbacks that outlive this object find it gone.
+  // False after destruction; callbacks check it, because they may outlive this
+  // object.
   std::shared_ptr<bool> alive_;
 };
 
--- a/source/common/control/lease_table.cc
+++ b/source/common/control/lease_table.cc
@@ -12,12 +12,12 @@
   term_ = term;
   start_revision_ = revision;
   revision_ = revision;
-  settling_revision_ = revision;
-  settling_since_ = now;
+  next_delayed_revision_ = revision;
+  next_delayed_since_ = now;
   for (const auto& [daemon_id, member] : members) {
     SetMember(daemon_id, &member, now);
     leases_[{daemon_id, member.incarnation}] =
-        Lease{.end = now + LeaseTimeHere(),
+        Lease{.expires_at = now + LeaseDurationWithDrift(),
               .confirmed = 0,
               .released = 0,
               .zone = member.zone,
@@ -61,10 +61,10 @@
   if (member->second.incarnation > facts.daemon.incarnation) {
     return GrantOutcome::kSuperseded;
   }
-  Learn(facts.known_in_force,
-        {{member->second.zone, facts.known_zone_released}});
+  MergeWatermarks(facts.known_in_force,
+                  {{member->second.zone, facts.known_zone_released}});
   auto lease = leases_.find(facts.daemon);
-  if (lease != leases_.end() && lease->second.end <= now) {
+  if (lease != leases_.end() && lease->second.expires_at <= now) {
     leases_.erase(lease);
     lease = leases_.end();
     member->second.unleased_since = now;
@@ -81,7 +81,8 @@
     return may_renew ? GrantOutcome::kNewTerm : GrantOutcome::kBehind;
   }
   Lease& granted = leases_[facts.daemon];
-  granted.end = std::max(granted.end, now + LeaseTimeHere());
+  granted.expires_at =
+      std::max(granted.expires_at, now + LeaseDurationWithDrift());
   granted.confirmed = std::max(granted.confirmed, facts.confirmed);
   granted.released = std::max(granted.released, facts.released);
   granted.zone = member->second.zone;
@@ -89,8 +90,9 @@
   return GrantOutcome::kGranted;
 }
 
-// A daemon that held no lease for certain in this term must have reached every
-// watermark that this leader announced or one before it may have announced.
+// A daemon that is not known to hold a lease in this term must have reached
+// every watermark that this leader announced or an earlier leader may have
+// announced.
 bool LeaseTable::MayGrant(const HeartbeatFacts& facts,
                           const MemberEntry& member) const {
   if (facts.confirmed < std::max(in_force_, start_revision_)) {
@@ -105,10 +107,10 @@
   return facts.released >= std::max(released, start_revision_);
 }
 
-void LeaseTable::Learn(
+void LeaseTable::MergeWatermarks(
     resources::Revision in_force,
     const std::map<std::string, resources::Revision>& zones) {
-  // Nothing above the state's revision can have been announced.
+  // No leader can have announced a watermark above the revision of the state.
   in_force_ = std::max(in_force_, std::min(in_force, revision_));
   for (const auto& [zone, known] : zones) {
     resources::Revision& released = zone_released_[zone];
@@ -121,7 +123,7 @@
   auto member = members_.find(daemon.daemon_id);
   if (member != members_.end() &&
       member->second.incarnation == daemon.incarnation) {
-    // It asked for nothing more: no need to wait before the removal.
+    // The daemon has shut down, so its removal needs no delay.
     member->second.unleased_since = MonotonicTime::min();
   }
 }
@@ -131,10 +133,10 @@
     return;
   }
   revision_ = revision;
-  SettleRevision(now);
-  DropEnded(now);
+  UpdateDelayedRevision(now);
+  EraseExpiredLeases(now);
   resources::Revision confirmed =
-      leases_.empty() ? settled_revision_ : revision;
+      leases_.empty() ? delayed_revision_ : revision;
   std::map<std::string, resources::Revision> released;
   for (const auto& [key, lease] : leases_) {
     confirmed = std::min(confirmed, lease.confirmed);
@@ -144,7 +146,7 @@
     }
   }
   for (const auto& [daemon_id, member] : members_) {
-    released.try_emplace(member.zone, settled_revision_);
+    released.try_emplace(member.zone, delayed_revision_);
   }
   in_force_ = std::max(in_force_, confirmed);
   for (const auto& [zone, zone_revision] : released) {
@@ -153,18 +155,18 @@
   }
 }
 
-void LeaseTable::SettleRevision(MonotonicTime now) {
-  if (now - settling_since_ < options_.lease) {
+void LeaseTable::UpdateDelayedRevision(MonotonicTime now) {
+  if (now - next_delayed_since_ < options_.lease) {
     return;
   }
-  settled_revision_ = settling_revision_;
-  settling_revision_ = revision_;
-  settling_since_ = now;
+  delayed_revision_ = next_delayed_revision_;
+  next_delayed_revision_ = revision_;
+  next_delayed_since_ = now;
 }
 
-void LeaseTable::DropEnded(MonotonicTime now) {
+void LeaseTable::EraseExpiredLeases(MonotonicTime now) {
   for (auto lease = leases_.begin(); lease != leases_.end();) {
-    if (lease->second.end > now) {
+    if (lease->second.expires_at > now) {
       ++lease;
       continue;
     }
@@ -184,8 +186,10 @@
     if (member.removal_pending || leases_.contains(key)) {
       continue;
     }
-    const bool said_goodbye = member.unleased_since == MonotonicTime::min();
-    if (said_goodbye || now - member.unleased_since > options_.removal_delay) {
+    const bool has_released_lease =
+        member.unleased_since == MonotonicTime::min();
+    if (has_released_lease ||
+        now - member.unleased_since > options_.removal_delay) {
       member.removal_pending = true;
       removals.push_back(key);
     }
@@ -194,7 +198,7 @@
 }
 
 RevisionParts LeaseTable::PartsOf(resources::Revision revision) const {
-  double running = 0;
+  double counted = 0;
   RevisionParts parts;
   for (const auto& [key, lease] : leases_) {
     const auto member = members_.find(key.daemon_id);
@@ -203,15 +207,15 @@
     if (replaced) {
       continue;
     }
-    ++running;
+    ++counted;
     parts.confirmed += lease.confirmed >= revision ? 1 : 0;
     parts.released += lease.released >= revision ? 1 : 0;
   }
-  if (running == 0) {
+  if (counted == 0) {
     return {};
   }
-  return {.confirmed = parts.confirmed / running,
-          .released = parts.released / running};
+  return {.confirmed = parts.confirmed / counted,
+          .released = parts.released / counted};
 }
 
 resources::Revision LeaseTable::zone_released(const std::string& zone) const {
@@ -237,10 +241,10 @@
   return progress;
 }
 
-Duration LeaseTable::LeaseTimeHere() const {
-  const double stretched = static_cast<double>(options_.lease.count()) *
-                           (1.0 + 2.0 * options_.maximum_clock_drift);
-  return Duration(static_cast<Duration::rep>(stretched) + 1);
+Duration LeaseTable::LeaseDurationWithDrift() const {
+  const double lease_with_drift = static_cast<double>(options_.lease.count()) *
+                                  (1.0 + 2.0 * options_.maximum_clock_drift);
+  return Duration(static_cast<Duration::rep>(lease_with_drift) + 1);
 }
 
 }  // namespace juniperway::control
--- a/source/common/control/lease_table.h
+++ b/source/common/control/lease_table.h
@@ -1,21 +1,24 @@
-// The leader's table of the daemons' leases and of what each daemon confirmed.
-// Pure; not replicated. A new leader cannot know which leases the one before
-// it gave, so it takes every member to hold one for a full lease time.
+// The leader's table of the leases that it granted to daemons and of the
+// revisions that each daemon confirmed. LeaderRole owns it. The table does no
+// I/O, takes the time as an argument, and is not replicated: a new leader does
+// not know which leases the previous leader granted, so it assumes that every
+// member holds one for a full lease duration.
 //
-// Times: a grant counts on the daemon from when it sent the heartbeat, here
-// from when the heartbeat arrived plus the drift of the two clocks. So a lease
-// has always run out on the daemon before it has run out here.
+// Expiry: the daemon counts a lease from the time it sent the heartbeat. The
+// table counts it from the arrival of the heartbeat and adds the maximum clock
+// drift of both sides. A lease therefore always expires on the daemon first.
 //
 // Watermarks: `in force` is a revision that every daemon with a lease has
-// confirmed; `zone released` is one up to which every gateway of a zone with a
-// lease has let go of back ends. Both only grow, also across leaders: a lease
-// is given only to a daemon that has reached every watermark that may have been
-// announced. The caller asks for new watermarks and grants only while it holds
-// the leader lease of the consensus module.
+// confirmed. `zone released` is a revision up to which every gateway with a
+// lease in a zone has released the backends that it no longer owns. Both only
+// grow, also across leaders: the table grants a lease only to a daemon that has
+// reached every watermark that may have been announced. The caller may grant
+// leases and advance watermarks only while it holds the leader lease of the
+// consensus module.
 //
-// Where nobody holds a lease there is nobody to wait for, and a watermark could
-// follow the newest revision at once. It stays a lease time behind instead, so
-// that daemons that join during many changes can reach it.
+// While no daemon holds a lease, a watermark could follow the newest revision
+// at once. It stays one lease duration behind instead, so that daemons that
+// join during many changes can reach it.
 #pragma once
 
 #include <cstdint>
@@ -31,7 +34,7 @@
 
 namespace juniperway::control {
 
-// One start of one daemon.
+// One incarnation of one daemon.
 struct DaemonKey {
   std::string daemon_id;
   std::uint64_t incarnation = 0;
@@ -40,42 +43,46 @@
   auto operator<=>(const DaemonKey&) const = default;
 };
 
+// The fields of a daemon's heartbeat that decide about its lease.
 struct HeartbeatFacts {
   DaemonKey daemon;
   resources::Revision confirmed = 0;
   resources::Revision released = 0;
-  // Leader's term that the daemon was last answered in.
+  // Term of the leader that last answered this daemon.
   std::uint64_t term = 0;
-  // Its lease was valid when it sent this.
+  // The daemon's lease was valid when it sent the heartbeat.
   bool holds_lease = false;
-  // Watermarks it was told by any leader: true, so worth learning.
+  // Watermarks that any leader announced to the daemon. A new leader adopts
+  // them.
   resources::Revision known_in_force = 0;
   resources::Revision known_zone_released = 0;
 };
 
+// Whether a heartbeat got a lease, or why it did not.
 enum class GrantOutcome {
   kGranted,
   kNotMember,
-  // Must confirm a newer revision, or let go of back ends, first.
+  // The daemon must first confirm a newer revision or release backends.
   kBehind,
-  // Answered by another leader last: must send another heartbeat, so that its
-  // lease is known to be valid in this term.
+  // Another leader answered the daemon last. The daemon must send another
+  // heartbeat, which shows that its lease is valid in this term.
   kNewTerm,
+  // A later incarnation of the daemon is a member.
   kSuperseded,
 };
 
-// How far a revision is, over the daemons with a lease.
+// How many of the daemons with a lease have confirmed a revision.
 struct RevisionProgress {
   std::size_t daemons = 0;
   std::size_t confirmed = 0;
   // Daemons with a lease that have not confirmed.
   std::vector<std::string> waiting_for;
-  // Members without a lease: they refuse queries.
+  // Members without a lease. They refuse queries.
   std::vector<std::string> without_lease;
 };
 
-// Parts of the daemons with a lease that have confirmed a revision, and that
-// have let go of what they may not use any more at it.
+// Shares (0 to 1) of the daemons with a lease that have confirmed a revision,
+// and that have released what they may no longer use at that revision.
 struct RevisionParts {
   double confirmed = 0;
   double released = 0;
@@ -86,51 +93,55 @@
   struct Options {
     Duration lease = seconds(4);
     double maximum_clock_drift = 0.01;
-    // A member whose lease ran out is removed after this further time.
+    // A member is removed when it has been without a lease for this long.
     Duration removal_delay = seconds(2);
   };
 
   explicit LeaseTable(const Options& options) : options_(options) {}
 
-  // This machine leads in `term` and has applied every entry of earlier terms;
-  // `revision` is the state's.
+  // Starts the table when this node leads in `term` and has applied every entry
+  // of earlier terms.
+  // @param revision of the replicated state.
   void Start(std::uint64_t term, resources::Revision revision,
              const std::map<std::string, session::Member>& members,
              MonotonicTime now);
-  // Watermarks that earlier leaders announced: true, so worth learning.
-  void Learn(resources::Revision in_force,
-             const std::map<std::string, resources::Revision>& zones);
-  // It no longer leads: everything is forgotten.
+  // Raises the watermarks to those that earlier leaders announced, at most to
+  // the revision of the state.
+  void MergeWatermarks(resources::Revision in_force,
+                       const std::map<std::string, resources::Revision>& zones);
+  // Discards all leases and watermarks when this node no longer leads.
   void Stop();
   bool active() const { return active_; }
   std::uint64_t term() const { return term_; }
 
-  // The replicated membership of a daemon changed; null: removed.
+  // Applies a change of the replicated membership.
+  // @param member null when the daemon was removed.
   void SetMember(const std::string& daemon_id, const session::Member* member,
                  MonotonicTime now);
 
-  // Takes in a heartbeat and gives or refuses a lease of options.lease.
+  // Records a heartbeat and grants or refuses a lease of options.lease.
   GrantOutcome OnHeartbeat(const HeartbeatFacts& facts, MonotonicTime now);
-  // The daemon has stopped and gave its lease back.
+  // The daemon has shut down and released its lease.
   void OnGoodbye(const DaemonKey& daemon);
 
-  // Drops leases that ran out and moves the watermarks.
-  // @param revision the state's, which bounds the watermarks.
+  // Drops expired leases and advances the watermarks.
+  // @param revision of the replicated state; it bounds the watermarks.
   void Advance(resources::Revision revision, MonotonicTime now);
 
-  // Members to be removed from the replicated membership. Each is named once;
-  // from then on it gets no lease until it has been removed and joined again.
+  // Returns members to be removed from the replicated membership. Each member
+  // is returned once; from then on it gets no lease until it has been removed
+  // and has joined again.
   std::vector<DaemonKey> TakeRemovals(MonotonicTime now);
 
   resources::Revision in_force() const { return in_force_; }
-  // Watermark of a zone; zones without gateways stand at the state's revision.
+  // Watermark of a zone, or the revision of the state for an unknown zone.
   resources::Revision zone_released(const std::string& zone) const;
   const std::map<std::string, resources::Revision>& zones() const {
     return zone_released_;
   }
 
-  // A start that a newer one of the same daemon has replaced is not counted:
-  // its process has ended, though its lease has not.
+  // Does not count an incarnation that a later one of the same daemon has
+  // replaced: its process has ended, although its lease is still valid.
   RevisionParts PartsOf(resources::Revision revision) const;
 
   RevisionProgress ProgressOf(resources::Revision revision) const;
@@ -138,8 +149,8 @@
 
  private:
   struct Lease {
-    // When it has run out for certain.
-    MonotonicTime end;
+    // The lease has expired on the daemon by this time.
+    MonotonicTime expires_at;
     resources::Revision confirmed = 0;
     resources::Revision released = 0;
     std::string zone;
@@ -149,27 +160,29 @@
     std::uint64_t incarnation = 0;
     std::string zone;
     bool gateway = false;
-    // Since when it has been without a lease; meaningless while it has one.
+    // Start of the time without a lease; not used while the member has one.
+    // MonotonicTime::min() when the daemon released its lease.
     MonotonicTime unleased_since;
     bool removal_pending = false;
   };
 
   bool MayGrant(const HeartbeatFacts& facts, const MemberEntry& member) const;
-  void SettleRevision(MonotonicTime now);
-  void DropEnded(MonotonicTime now);
-  Duration LeaseTimeHere() const;
+  void UpdateDelayedRevision(MonotonicTime now);
+  void EraseExpiredLeases(MonotonicTime now);
+  Duration LeaseDurationWithDrift() const;
 
   Options options_;
   bool active_ = false;
   std::uint64_t term_ = 0;
-  // The state's revision when this leader started: no earlier leader can have
-  // announced a watermark above it.
+  // Revision of the state when this leader started. No earlier leader can have
+  // announced a higher watermark.
   resources::Revision start_revision_ = 0;
   resources::Revision revision_ = 0;
-  // The state's revision at least a lease time ago, and the one that is next.
-  resources::Revision settled_revision_ = 0;
-  resources::Revision settling_revision_ = 0;
-  MonotonicTime settling_since_;
+  // Revision of the state at least one lease duration ago.
+  resources::Revision delayed_revision_ = 0;
+  // Becomes delayed_revision_ one lease duration after next_delayed_since_.
+  resources::Revision next_delayed_revision_ = 0;
+  MonotonicTime next_delayed_since_;
   resources::Revision in_force_ = 0;
   std::map<std::string, resources::Revision> zone_released_;
   std::map<DaemonKey, Lease> leases_;
--- a/source/common/control/member_repair.cc
+++ b/source/common/control/member_repair.cc
@@ -10,8 +10,8 @@
   return progress.active && progress.caught_up && !progress.regressed;
 }
 
-// Another member answers at this one's address: the machine was started anew
-// without its data, under a new id.
+// Whether another member is active at this member's address: the control node
+// has restarted without its data, under a new id.
 bool IsSuperseded(const raft::Status& status, const raft::Progress& progress) {
   return !progress.active &&
          std::ranges::any_of(
@@ -23,7 +23,8 @@
 
 }  // namespace
 
-void MemberRepair::NoteActivity(const raft::Status& status, MonotonicTime now) {
+void MemberRepair::UpdateInactivity(const raft::Status& status,
+                                    MonotonicTime now) {
   std::map<raft::NodeId, MonotonicTime> inactive;
   for (const raft::Progress& progress : status.progress) {
     if (!progress.active) {
@@ -35,42 +36,43 @@
   inactive_since_ = std::move(inactive);
 }
 
-bool MemberRepair::IsDead(const raft::Status& status,
+bool MemberRepair::IsLost(const raft::Status& status,
                           const raft::Progress& progress,
                           MonotonicTime now) const {
   const auto inactive = inactive_since_.find(progress.member.id);
-  const bool silent = inactive != inactive_since_.end() &&
-                      now - inactive->second >= options_.replace_after;
-  return progress.regressed || silent || IsSuperseded(status, progress);
+  const bool unresponsive =
+      inactive != inactive_since_.end() &&
+      now - inactive->second >= options_.voter_replacement_delay;
+  return progress.regressed || unresponsive || IsSuperseded(status, progress);
 }
 
 std::optional<MemberStep> MemberRepair::Next(const raft::Status& status,
                                              MonotonicTime now) {
-  NoteActivity(status, now);
+  UpdateInactivity(status, now);
   const std::size_t voters = status.configuration.voters.size();
-  std::vector<raft::NodeId> dead_voters;
+  std::vector<raft::NodeId> lost_voters;
   std::optional<raft::NodeId> ready_learner;
   for (const raft::Progress& progress : status.progress) {
-    if (progress.voter && IsDead(status, progress, now)) {
-      dead_voters.push_back(progress.member.id);
+    if (progress.voter && IsLost(status, progress, now)) {
+      lost_voters.push_back(progress.member.id);
     }
     if (!progress.voter && IsReady(progress)) {
       ready_learner = progress.member.id;
     }
   }
-  const std::size_t live_voters = voters - dead_voters.size();
+  const std::size_t live_voters = voters - lost_voters.size();
   if (ready_learner && live_voters < options_.wanted_voters) {
     return PromoteStep{*ready_learner};
   }
-  if (!dead_voters.empty() && voters > options_.wanted_voters) {
-    return RemoveStep{dead_voters.front()};
+  if (!lost_voters.empty() && voters > options_.wanted_voters) {
+    return RemoveStep{lost_voters.front()};
   }
   for (const raft::Progress& progress : status.progress) {
     const auto inactive = inactive_since_.find(progress.member.id);
-    const bool forgotten =
+    const bool expired =
         inactive != inactive_since_.end() &&
-        now - inactive->second >= options_.forget_learner_after;
-    if (!progress.voter && (forgotten || IsSuperseded(status, progress))) {
+        now - inactive->second >= options_.learner_removal_delay;
+    if (!progress.voter && (expired || IsSuperseded(status, progress))) {
       return RemoveStep{progress.member.id};
     }
   }
--- a/source/common/control/member_repair.h
+++ b/source/common/control/member_repair.h
@@ -1,6 +1,7 @@
-// Which control machines vote, where the group looks after itself: a machine
-// that is gone for good or came back without its data is replaced by one that
-// asked to join. The leader asks for the next step; one change at a time. Pure.
+// Decides which control nodes become or stop being voters when the control
+// group repairs itself. A voter that is lost, or that has restarted without its
+// data, is replaced by a learner. LeaderRole owns the MemberRepair and carries
+// out one step at a time. Does no I/O; the time is an argument.
 #pragma once
 
 #include <cstddef>
@@ -13,39 +14,43 @@
 
 namespace juniperway::control {
 
+// Make a learner a voter.
 struct PromoteStep {
   raft::NodeId id = raft::kNoNode;
 };
+// Remove a voter or learner from the group.
 struct RemoveStep {
   raft::NodeId id = raft::kNoNode;
 };
 using MemberStep = std::variant<PromoteStep, RemoveStep>;
 
+// Tracks the inactivity of members and chooses the next step.
 class MemberRepair {
  public:
   struct Options {
-    // Voters to have: 2 x losses to be borne + 1.
+    // Target number of voters: 2 x tolerated losses + 1.
     std::size_t wanted_voters = 3;
-    // A voter is replaced once it was inactive this long and another machine
+    // A voter that has been inactive for this long is replaced when a learner
     // is ready.
-    Duration replace_after = seconds(1);
-    // A learner that stays inactive is forgotten.
-    Duration forget_learner_after = seconds(20);
+    Duration voter_replacement_delay = seconds(1);
+    // A learner that has been inactive for this long is removed.
+    Duration learner_removal_delay = seconds(20);
   };
 
   explicit MemberRepair(const Options& options) : options_(options) {}
 
   // @param status of this node, which leads.
-  // @return what to change now; nothing when all is well or nobody is ready.
+  // @return the next change; nothing when no member has to be replaced or no
+  //   learner is ready.
   std::optional<MemberStep> Next(const raft::Status& status, MonotonicTime now);
 
  private:
-  void NoteActivity(const raft::Status& status, MonotonicTime now);
-  bool IsDead(const raft::Status& status, const raft::Progress& progress,
+  void UpdateInactivity(const raft::Status& status, MonotonicTime now);
+  bool IsLost(const raft::Status& status, const raft::Progress& progress,
               MonotonicTime now) const;
 
   Options options_;
-  // Members that do not answer, and since when.
+  // Members that do not answer, with the start of their inactivity.
   std::map<raft::NodeId, MonotonicTime> inactive_since_;
 };
 
--- a/source/common/control/rate_pool.cc
+++ b/source/common/control/rate_pool.cc
@@ -20,8 +20,8 @@
       taken += leases_.TryTake(request->key, now) ? 1 : 0;
     }
     if (request->waiting > 0) {
-      is_used_ = true;
-      is_short_ |= leases_.NeedsTokens(request->key, now);
+      has_requests_ = true;
+      is_low_on_tokens_ |= leases_.NeedsTokens(request->key, now);
     }
     if (taken > 0) {
       request->waiting -= taken;
@@ -32,12 +32,12 @@
 }
 
 bool RatePool::IsReportDue(MonotonicTime now) const {
-  if (!is_used_) {
+  if (!has_requests_) {
     return false;
   }
   return last_report_ == MonotonicTime::min() ||
          now - last_report_ >=
-             (is_short_ ? kShortestInterval : kReportInterval);
+             (is_low_on_tokens_ ? kMinimumReportInterval : kReportInterval);
 }
 
 std::unique_ptr<protocol::MemberHeartbeatT> RatePool::MakeReport(
@@ -54,7 +54,7 @@
   session::EncodeRateReport(leases_.MakeReport(now), *item->heartbeat);
   sent_[last_sequence_] = now;
   last_report_ = now;
-  is_short_ = false;
+  is_low_on_tokens_ = false;
   return item;
 }
 
@@ -64,9 +64,10 @@
     return false;
   }
   const auto sent = sent_.find(reply.reply->sequence);
-  const bool is_leaders =
+  const bool is_from_leader =
       reply.reply->outcome != protocol::HeartbeatOutcome::kNoLeader;
-  if (reply.incarnation != incarnation_ || sent == sent_.end() || !is_leaders) {
+  if (reply.incarnation != incarnation_ || sent == sent_.end() ||
+      !is_from_leader) {
     return true;
   }
   term_ = std::max(term_, reply.reply->term);
--- a/source/common/control/rate_pool.h
+++ b/source/common/control/rate_pool.h
@@ -1,8 +1,9 @@
-// A control machine's pool of tokens for the routers whose sessions it has. A
-// router that holds no token asks; the way to the leader may lead into another
-// region (24 ms there and back), the pool answers at once. The pool itself is a
-// holder of leased rates like a router, and goes on with its lease while there
-// is no leader. Pure: time is an argument.
+// A control node's pool of rate tokens for the routers that have a session with
+// it. A router without a token requests one with its heartbeat. The leader may
+// be in another region (24 ms round trip); the pool answers at once. The leader
+// leases rates to the pool as to a router, and the pool uses its lease while
+// there is no leader. Each control node owns one pool. The class does no I/O;
+// the time is an argument.
 #pragma once
 
 #include <cstdint>
@@ -18,17 +19,18 @@
 
 namespace juniperway::control {
 
-// The holder's name of a control machine's pool. No daemon has it: names of
-// daemons hold no slash.
+// Name under which a control node's pool reports to the leader. It contains a
+// slash, which names of daemons do not, so no daemon has the same name.
 std::string PoolName(raft::NodeId node);
 
+// Serves routers from rates that the leader leased to this control node.
 class RatePool {
  public:
-  // Between two reports while nothing is short: a lease (5.5 s) bears the loss
-  // of one.
+  // Interval of reports while tokens suffice. A rate lease (5.5 s) outlasts the
+  // loss of one report.
   static constexpr Duration kReportInterval = seconds(2);
-  // Between two reports in any case: one round trip between regions.
-  static constexpr Duration kShortestInterval = milliseconds(25);
+  // Interval of reports while tokens run low: one round trip between regions.
+  static constexpr Duration kMinimumReportInterval = milliseconds(25);
 
   // @param incarnation changes with each start of the process.
   RatePool(raft::NodeId node, std::uint64_t incarnation)
@@ -36,30 +38,30 @@
         incarnation_(incarnation),
         leases_(quota::kPoolOptions) {}
 
-  // Takes tokens for what waits at a router, as far as there are some, and
-  // leaves the rest in its heartbeat, for the leader.
+  // Grants available tokens for the requests that wait at a router, and
+  // subtracts them from its heartbeat. The leader serves the remaining ones.
   std::vector<quota::RateGrant> Serve(protocol::HeartbeatT& heartbeat,
                                       MonotonicTime now);
 
-  // The leader should be told, now or soon.
+  // Whether the pool should send a report to the leader now.
   bool IsReportDue(MonotonicTime now) const;
   std::unique_ptr<protocol::MemberHeartbeatT> MakeReport(MonotonicTime now);
-  // An answer to a report of this pool; others are passed over.
-  // @return true when it was one.
+  // Handles an answer to a report of this pool.
+  // @return false when the answer is addressed to another daemon.
   bool OnReply(const protocol::MemberHeartbeatReplyT& reply, MonotonicTime now);
 
  private:
   std::string name_;
   std::uint64_t incarnation_;
   quota::RateLeases leases_;
-  // Some key's tokens run low.
-  bool is_short_ = false;
-  // Some router has asked.
-  bool is_used_ = false;
+  // The tokens of at least one key run low.
+  bool is_low_on_tokens_ = false;
+  // At least one router has requested tokens.
+  bool has_requests_ = false;
   std::uint64_t term_ = 0;
   std::uint64_t last_sequence_ = 0;
   MonotonicTime last_report_ = MonotonicTime::min();
-  // When reports were made, by their numbers.
+  // When reports were sent, by sequence number; for one rate lease.
   std::map<std::uint64_t, MonotonicTime> sent_;
 };
 
--- a/source/common/control/tenant_quotas.cc
+++ b/source/common/control/tenant_quotas.cc
@@ -11,7 +11,7 @@
 namespace juniperway::control {
 namespace {
 
-// Tenants without a rate have no limit, and no router asks for them.
+// Tenants without a rate have no limit, and routers request no tokens for them.
 quota::RateLimits LimitsOf(const routes::RouteTable& table) {
   quota::RateLimits limits;
   if (!table.tenants) {
@@ -46,7 +46,7 @@
                                MonotonicTime now,
                                protocol::HeartbeatReplyT& reply) {
   if (is_pool || !item.heartbeat->rate_requests.empty()) {
-    TakeLimits(table, now);
+    UpdateLimits(table, now);
   }
   const quota::RateGranter::Sender sender{.name = item.daemon_id,
                                           .incarnation = item.incarnation,
@@ -57,8 +57,8 @@
   reply.rate_grants = session::EncodeRateGrants(grants);
 }
 
-void TenantQuotas::TakeLimits(const StoredRouteTable& table,
-                              MonotonicTime now) {
+void TenantQuotas::UpdateLimits(const StoredRouteTable& table,
+                                MonotonicTime now) {
   if (table.version == table_version_) {
     return;
   }
@@ -68,7 +68,8 @@
       text ? routes::ParseRouteTable(*text)
            : Result<routes::RouteTable>(tl::unexpected(text.error()));
   if (!parsed) {
-    // It was checked before it was taken in, by a version that knew more.
+    // The API checks a table before it is stored. A table that does not parse
+    // here was written by a newer version of the software.
     logging::LogEvent(
         kTenantLimitsUnreadable,
         {{"version", table.version}, {"error", FormatError(parsed.error())}});
--- a/source/common/control/tenant_quotas.h
+++ b/source/common/control/tenant_quotas.h
@@ -1,5 +1,6 @@
-// The leader's grants of tenants' limits to routers: the limits of the route
-// table in force, and the account of what is leased (quota/rate_granter.h).
+// Grants shares of the tenants' rate limits to routers and pools. The limits
+// come from the stored route table; quota/rate_granter.h keeps account of what
+// is leased. LeaderRole owns it.
 #pragma once
 
 #include <cstdint>
@@ -21,24 +22,25 @@
                double maximum_clock_drift)
       : granter_(tolerance, maximum_clock_drift) {}
 
-  // This machine leads from now on.
-  // @param pools names of control machines' pools.
+  // Starts granting when this node becomes the leader in `term`.
+  // @param pools names of the control nodes' pools.
   void Start(std::uint64_t term,
              const std::map<std::string, session::Member>& members,
              const std::set<std::string>& pools, MonotonicTime now);
   void Stop() { granter_.Stop(); }
 
-  // Answers a heartbeat of a router that is a member, or of a pool.
+  // Adds the rate grants to the answer to a heartbeat of a member router or of
+  // a pool.
   void OnHeartbeat(const protocol::MemberHeartbeatT& item, bool is_pool,
                    const StoredRouteTable& table, MonotonicTime now,
                    protocol::HeartbeatReplyT& reply);
 
  private:
-  // Takes the limits of a table that is new.
-  void TakeLimits(const StoredRouteTable& table, MonotonicTime now);
+  // Reads the limits from `table` if its version is new.
+  void UpdateLimits(const StoredRouteTable& table, MonotonicTime now);
 
   quota::RateGranter granter_;
-  // Version of the table whose limits are in use; 0: none.
+  // Version of the route table that was last read; 0: none.
   std::uint64_t table_version_ = 0;
 };
 
--- a/test/property/control/control_world.cc
+++ b/test/property/control/control_world.cc
@@ -18,10 +18,10 @@
 constexpr Duration kElection = milliseconds(1000);
 constexpr double kLossProbability = 0.02;
 constexpr Duration kMaximumDelay = milliseconds(60);
-// A slow daemon takes this long to bring a view into use.
-constexpr Duration kMaximumTaking = milliseconds(700);
-// How long a planted defect stretches a lease.
-constexpr Duration kDefectStretch = seconds(3);
+// Longest time in which a daemon brings a view into use.
+constexpr Duration kMaximumApplyDelay = milliseconds(700);
+// Time by which a defect extends a lease.
+constexpr Duration kDefectLeaseExtension = seconds(3);
 
 template <typename Operation>
 Operations OneOperation(Operation operation) {
@@ -38,14 +38,14 @@
   ControlState state;
   std::size_t applied = 0;
   std::unique_ptr<LeaderRole> role;
-  // What it believes of itself; may lag behind the world.
+  // Role and term as the node knows them; they may be out of date.
   bool leads = false;
   raft::Term term = 0;
-  // Cut off or frozen: nothing comes in or goes out.
-  bool away = false;
-  bool frozen = false;
-  MonotonicTime away_since;
-  std::vector<std::function<void()>> held;
+  // Partitioned or paused: the node neither receives nor sends.
+  bool unreachable = false;
+  bool paused = false;
+  MonotonicTime unreachable_since;
+  std::vector<std::function<void()>> queued_deliveries;
 };
 
 struct ControlWorld::Daemon {
@@ -56,16 +56,19 @@
   std::unique_ptr<session::SessionState> state;
   std::uint64_t session = 0;
   std::size_t node = 0;
-  // Survives restarts, as the session file does.
-  resources::Revision kept = 0;
-  // What the daemon really works with.
+  // The confirmed revision, which survives restarts as the session file does.
+  resources::Revision persisted = 0;
+  // Revision that the daemon uses, and the one up to which it has released
+  // backends.
   resources::Revision in_use = 0;
-  resources::Revision let_go = 0;
-  resources::Revision taking = 0;
+  resources::Revision released = 0;
+  // Highest revision sent to the daemon.
+  resources::Revision pending = 0;
   bool had_lease = false;
   bool crashed = false;
-  // Nothing comes in or goes out before this, without a signal.
-  MonotonicTime cut_until;
+  // The daemon neither receives nor sends before this time, and its connection
+  // does not close.
+  MonotonicTime partitioned_until;
 };
 
 ControlWorld::ControlWorld(const WorldOptions& options)
@@ -77,8 +80,9 @@
     auto daemon = std::make_unique<Daemon>();
     daemon->name = fmt::format("daemon-{}", number);
     daemon->zone = number % 2 == 0 ? "even" : "odd";
-    const double drift = options.defect == Defect::kClocksDrift ? 0.4 : kDrift;
-    // The extremes are where the bound matters.
+    const double drift =
+        options.defect == Defect::kExcessiveClockDrift ? 0.4 : kDrift;
+    // Every third clock runs at the lower bound, where a wrong bound shows.
     daemon->clock_rate = number % 3 == 0 ? 1.0 - drift : 1.0 + drift / 2;
     daemons_.push_back(std::move(daemon));
   }
@@ -94,8 +98,8 @@
   for (std::size_t node = 0; node < kNodes; ++node) {
     TickNode(node);
   }
-  At(now_ + seconds(1), [this] { ChangeSomething(); });
-  At(now_ + seconds(5), [this] { CutOffSomeDaemon(); });
+  At(now_ + seconds(1), [this] { WriteService(); });
+  At(now_ + seconds(5), [this] { PartitionRandomDaemon(); });
   const MonotonicTime end = now_ + options_.duration;
   while (now_ < end && report_.violation.empty()) {
     Event event = events_.top();
@@ -117,18 +121,19 @@
   events_.push({time, ++last_order_, std::move(run)});
 }
 
-void ControlWorld::Later(std::function<void()> run) {
+void ControlWorld::DeliverLater(std::function<void()> run) {
   if (!Chance(kLossProbability)) {
-    At(now_ + Between(microseconds(1), kMaximumDelay), std::move(run));
+    At(now_ + RandomDuration(microseconds(1), kMaximumDelay), std::move(run));
   }
 }
 
 void ControlWorld::ToNode(std::size_t node, std::function<void()> deliver) {
-  Later([this, node, deliver = std::move(deliver)] {
+  DeliverLater([this, node, deliver = std::move(deliver)] {
     Node& target = *nodes_[node];
-    if (target.frozen) {
-      target.held.push_back(deliver);  // The kernel keeps what came in.
-    } else if (!target.away) {
+    if (target.paused) {
+      // The kernel buffers received messages.
+      target.queued_deliveries.push_back(deliver);
+    } else if (!target.unreachable) {
       deliver();
     }
   });
@@ -138,17 +143,17 @@
   return std::uniform_real_distribution<double>(0, 1)(random_) < probability;
 }
 
-Duration ControlWorld::Between(Duration low, Duration high) {
+Duration ControlWorld::RandomDuration(Duration low, Duration high) {
   return Duration(std::uniform_int_distribution<Duration::rep>(
       low.count(), high.count())(random_));
 }
 
-// --- Consensus stand-in ------------------------------------------------------
+// --- Consensus model ---------------------------------------------------------
 
 void ControlWorld::Elect() {
   std::vector<std::size_t> present;
   for (const auto& node : nodes_) {
-    if (!node->away) {
+    if (!node->unreachable) {
       present.push_back(node->number);
     }
   }
@@ -167,48 +172,48 @@
     }
   }
   ApplyUpTo(chosen, log_.size());
-  At(now_ + Between(seconds(2), seconds(12)), [this] { LoseLeader(); });
+  At(now_ + RandomDuration(seconds(2), seconds(12)), [this] { FailLeader(); });
 }
 
-void ControlWorld::LoseLeader() {
-  // The group bears the loss of one.
+void ControlWorld::FailLeader() {
+  // The group tolerates the failure of one node.
   if (std::ranges::any_of(nodes_,
-                          [](const auto& node) { return node->away; })) {
-    At(now_ + milliseconds(500), [this] { LoseLeader(); });
+                          [](const auto& node) { return node->unreachable; })) {
+    At(now_ + milliseconds(500), [this] { FailLeader(); });
     return;
   }
-  const std::size_t lost = *leader_;
-  Node& node = *nodes_[lost];
-  node.away = true;
-  node.frozen = Chance(0.5);
-  node.away_since = now_;
+  const std::size_t failed = *leader_;
+  Node& node = *nodes_[failed];
+  node.unreachable = true;
+  node.paused = Chance(0.5);
+  node.unreachable_since = now_;
   leader_.reset();
-  At(now_ + kElection + Between(microseconds(1), seconds(1)),
+  At(now_ + kElection + RandomDuration(microseconds(1), seconds(1)),
      [this] { Elect(); });
-  At(now_ + Between(milliseconds(100), seconds(9)),
-     [this, lost] { Return(lost); });
+  At(now_ + RandomDuration(milliseconds(100), seconds(9)),
+     [this, failed] { ReconnectNode(failed); });
 }
 
-void ControlWorld::Return(std::size_t number) {
+void ControlWorld::ReconnectNode(std::size_t number) {
   Node& node = *nodes_[number];
   if (!leader_) {
-    At(now_ + milliseconds(100), [this, number] { Return(number); });
+    At(now_ + milliseconds(100), [this, number] { ReconnectNode(number); });
     return;
   }
-  node.away = false;
-  node.frozen = false;
-  // What waited in its sockets is handled before it hears of the new term.
-  for (const auto& deliver : std::exchange(node.held, {})) {
+  node.unreachable = false;
+  node.paused = false;
+  // The node handles buffered messages before it receives the new term.
+  for (const auto& deliver : std::exchange(node.queued_deliveries, {})) {
     deliver();
   }
   node.role->Tick(now_);
-  At(now_ + Between(microseconds(1), milliseconds(100)), [this, number] {
-    Node& back = *nodes_[number];
+  At(now_ + RandomDuration(microseconds(1), milliseconds(100)), [this, number] {
+    Node& reconnected = *nodes_[number];
     if (leader_ != number) {
-      back.leads = false;
+      reconnected.leads = false;
     }
-    back.term = term_;
-    back.role->Update(StatusOf(number), now_);
+    reconnected.term = term_;
+    reconnected.role->Update(StatusOf(number), now_);
   });
 }
 
@@ -216,20 +221,21 @@
                                                   std::string command) {
   Node& node = *nodes_[number];
   if (!node.leads) {
-    return MakeError(ErrorCode::kNotLeader, "", "does not lead");
+    return MakeError(ErrorCode::kNotLeader, "", "this node does not lead");
   }
   if (leader_ != number) {
-    // An old leader's entry that is never committed.
+    // The entry of a former leader is never committed.
     return raft::Fsm::Proposal{log_.size() + 1, node.term};
   }
   log_.push_back(
       {term_, log_.size() + 1, raft::EntryKind::kCommand, std::move(command)});
   const std::size_t count = log_.size();
-  At(now_ + Between(milliseconds(1), milliseconds(30)), [this, number, count] {
-    if (!nodes_[number]->away) {
-      ApplyUpTo(number, count);
-    }
-  });
+  At(now_ + RandomDuration(milliseconds(1), milliseconds(30)),
+     [this, number, count] {
+       if (!nodes_[number]->unreachable) {
+         ApplyUpTo(number, count);
+       }
+     });
   return raft::Fsm::Proposal{count, term_};
 }
 
@@ -259,17 +265,17 @@
   if (!node.leads) {
     return false;
   }
-  const Duration stretch = options_.defect == Defect::kLeaderLeaseTooLong
-                               ? 4 * kDefectStretch
-                               : Duration(0);
+  const Duration extension = options_.defect == Defect::kLeaderLeaseTooLong
+                                 ? 4 * kDefectLeaseExtension
+                                 : Duration(0);
   if (leader_ == number) {
     return node.applied == log_.size() || node.role->leases().active();
   }
   return node.role->leases().active() &&
-         now_ < node.away_since + kLeaderLease + stretch;
+         now_ < node.unreachable_since + kLeaderLease + extension;
 }
 
-// --- Control machines --------------------------------------------------------
+// --- Control nodes -----------------------------------------------------------
 
 void ControlWorld::MakeNode(std::size_t number) {
   auto node = std::make_unique<Node>();
@@ -314,7 +320,7 @@
           .on_confirmed =
               [this, number] {
                 At(now_ + milliseconds(5), [this, number] {
-                  if (!nodes_[number]->frozen) {
+                  if (!nodes_[number]->paused) {
                     nodes_[number]->role->Advance(now_);
                   }
                 });
@@ -324,17 +330,18 @@
 
 void ControlWorld::TickNode(std::size_t number) {
   Node& node = *nodes_[number];
-  if (!node.frozen) {
-    // A follower applies what is committed some time later.
-    if (leader_ && leader_ != number && !node.away) {
+  if (!node.paused) {
+    // A follower applies committed entries later than the leader.
+    if (leader_ && leader_ != number && !node.unreachable) {
       ApplyUpTo(number, nodes_[*leader_]->applied);
     }
-    const bool forgets = options_.defect == Defect::kForgetsLeases;
-    if (forgets && node.leads && !node.role->leases().active()) {
+    const bool drops_leases = options_.defect == Defect::kDropsLeases;
+    if (drops_leases && node.leads && !node.role->leases().active()) {
       node.role->Tick(now_);
       if (node.role->leases().active()) {
         for (const auto& daemon : daemons_) {
-          // As a table that starts without the members' leases.
+          // Leaves the lease table as if it had started without the leases of
+          // the members.
           const_cast<LeaseTable&>(node.role->leases())
               .OnGoodbye({daemon->name, daemon->incarnation});
         }
@@ -347,7 +354,7 @@
 
 void ControlWorld::Forward(std::size_t number, std::uint64_t session,
                            session::HeartbeatContent content) {
-  // The session's machine passes it on to the leader it knows.
+  // The control node of the session forwards the heartbeat to the leader.
   if (!leader_ && !nodes_[daemons_[number]->node]->leads) {
     return;
   }
@@ -372,7 +379,7 @@
     HeartbeatReplies replies =
         nodes_[target]->role->OnHeartbeats(*shared, now_);
     const protocol::HeartbeatReplyT reply = *replies.front()->reply;
-    Later([this, number, session, reply] {
+    DeliverLater([this, number, session, reply] {
       AnswerHeartbeat(number, session, reply);
     });
   });
@@ -381,7 +388,8 @@
 void ControlWorld::AnswerHeartbeat(std::size_t number, std::uint64_t session,
                                    const protocol::HeartbeatReplyT& reply) {
   Daemon& daemon = *daemons_[number];
-  if (daemon.crashed || daemon.session != session || now_ < daemon.cut_until) {
+  if (daemon.crashed || daemon.session != session ||
+      now_ < daemon.partitioned_until) {
     return;
   }
   session::HeartbeatAnswer answer;
@@ -390,7 +398,7 @@
   answer.new_term = reply.outcome == protocol::HeartbeatOutcome::kNewTerm;
   answer.lease = Duration(reply.granted_us);
   if (options_.defect == Defect::kLeaseFromAnswer) {
-    answer.lease += kDefectStretch;
+    answer.lease += kDefectLeaseExtension;
   }
   answer.term = reply.term;
   answer.in_force = reply.in_force_revision;
@@ -433,19 +441,19 @@
   ++daemon.incarnation;
   ++daemon.session;
   daemon.in_use = 0;
-  daemon.let_go = 0;
-  daemon.taking = 0;
+  daemon.released = 0;
+  daemon.pending = 0;
   daemon.had_lease = false;
   daemon.state = std::make_unique<session::SessionState>(
-      session::SessionTiming{}, kNodes, daemon.kept, random_());
+      session::SessionTiming{}, kNodes, daemon.persisted, random_());
   daemon.state->Start(DaemonTime(daemon));
   const std::uint64_t start = daemon.incarnation;
   TickDaemon(number, start);
-  At(now_ + Between(seconds(5), seconds(60)), [this, number, start] {
+  At(now_ + RandomDuration(seconds(5), seconds(60)), [this, number, start] {
     Daemon& crashing = *daemons_[number];
     if (crashing.incarnation == start) {
       crashing.crashed = true;
-      At(now_ + Between(milliseconds(50), seconds(9)),
+      At(now_ + RandomDuration(milliseconds(50), seconds(9)),
          [this, number] { StartDaemon(number); });
     }
   });
@@ -462,28 +470,30 @@
     if (const auto* connect = std::get_if<session::ConnectAction>(&action)) {
       ++daemon.session;
       daemon.node = connect->endpoint;
-      if (!nodes_[daemon.node]->away && now_ >= daemon.cut_until) {
+      if (!nodes_[daemon.node]->unreachable &&
+          now_ >= daemon.partitioned_until) {
         daemon.state->OnConnected(now);
       }
-    } else if (const auto* beat =
+    } else if (const auto* heartbeat =
                    std::get_if<session::HeartbeatAction>(&action)) {
-      Later(
-          [this, number, session = daemon.session, content = beat->heartbeat] {
-            const Daemon& sender = *daemons_[number];
-            if (!nodes_[sender.node]->away && now_ >= sender.cut_until) {
-              Forward(number, session, content);
-            }
-          });
+      DeliverLater([this, number, session = daemon.session,
+                    content = heartbeat->heartbeat] {
+        const Daemon& sender = *daemons_[number];
+        if (!nodes_[sender.node]->unreachable &&
+            now_ >= sender.partitioned_until) {
+          Forward(number, session, content);
+        }
+      });
     } else {
       ++daemon.session;
     }
   }
   const Node& node = *nodes_[daemon.node];
   const resources::Revision offered = node.state.revision();
-  if (!node.away && daemon.state->connected() && offered > daemon.taking &&
-      daemon.state->MayTake(offered)) {
-    daemon.taking = offered;
-    Later([this, number, session = daemon.session, offered] {
+  if (!node.unreachable && daemon.state->connected() &&
+      offered > daemon.pending && daemon.state->MayTake(offered)) {
+    daemon.pending = offered;
+    DeliverLater([this, number, session = daemon.session, offered] {
       OnView(number, session, offered);
     });
   }
@@ -497,34 +507,35 @@
 void ControlWorld::OnView(std::size_t number, std::uint64_t session,
                           resources::Revision revision) {
   Daemon& daemon = *daemons_[number];
-  if (daemon.crashed || daemon.session != session || now_ < daemon.cut_until ||
-      !daemon.state->MayTake(revision)) {
-    daemon.taking = daemon.state->taken();
+  if (daemon.crashed || daemon.session != session ||
+      now_ < daemon.partitioned_until || !daemon.state->MayTake(revision)) {
+    daemon.pending = daemon.state->taken();
     return;
   }
   const std::uint64_t start = daemon.incarnation;
-  if (options_.defect == Defect::kConfirmsEarly) {
+  if (options_.defect == Defect::kEarlyConfirmation) {
     daemon.state->OnTaken(revision);
   }
-  At(now_ + Between(milliseconds(1), kMaximumTaking),
+  At(now_ + RandomDuration(milliseconds(1), kMaximumApplyDelay),
      [this, number, start, revision] {
-       Daemon& taker = *daemons_[number];
-       if (taker.crashed || taker.incarnation != start ||
-           revision < taker.in_use) {
+       Daemon& receiver = *daemons_[number];
+       if (receiver.crashed || receiver.incarnation != start ||
+           revision < receiver.in_use) {
          return;
        }
-       taker.in_use = revision;
-       taker.kept = std::max(taker.kept, revision);
-       taker.state->OnTaken(revision);
-       if (options_.defect == Defect::kReleasesEarly) {
-         taker.state->OnReleased(revision);
+       receiver.in_use = revision;
+       receiver.persisted = std::max(receiver.persisted, revision);
+       receiver.state->OnTaken(revision);
+       if (options_.defect == Defect::kEarlyRelease) {
+         receiver.state->OnReleased(revision);
        }
-       // What runs on back ends that it no longer owns ends first.
-       At(now_ + Between(milliseconds(1), seconds(1)),
+       // The daemon reports the release when requests on backends that it no
+       // longer owns have ended.
+       At(now_ + RandomDuration(milliseconds(1), seconds(1)),
           [this, number, start, revision] {
             Daemon& releaser = *daemons_[number];
             if (!releaser.crashed && releaser.incarnation == start) {
-              releaser.let_go = std::max(releaser.let_go, revision);
+              releaser.released = std::max(releaser.released, revision);
               releaser.state->OnReleased(revision);
             }
           });
@@ -533,16 +544,17 @@
 
 // --- Changes and checks ------------------------------------------------------
 
-void ControlWorld::CutOffSomeDaemon() {
+void ControlWorld::PartitionRandomDaemon() {
   Daemon& daemon = *daemons_[random_() % daemons_.size()];
-  daemon.cut_until =
-      std::max(daemon.cut_until, now_ + Between(seconds(1), seconds(9)));
-  At(now_ + Between(seconds(1), seconds(8)), [this] { CutOffSomeDaemon(); });
+  daemon.partitioned_until = std::max(
+      daemon.partitioned_until, now_ + RandomDuration(seconds(1), seconds(9)));
+  At(now_ + RandomDuration(seconds(1), seconds(8)),
+     [this] { PartitionRandomDaemon(); });
 }
 
-void ControlWorld::ChangeSomething() {
-  At(now_ + Between(milliseconds(50), seconds(4)),
-     [this] { ChangeSomething(); });
+void ControlWorld::WriteService() {
+  At(now_ + RandomDuration(milliseconds(50), seconds(4)),
+     [this] { WriteService(); });
   if (!leader_) {
     return;
   }
@@ -569,14 +581,16 @@
     }
     if (daemon->in_use < announced_in_force_) {
       report_.violation = fmt::format(
-          "{} holds a lease and uses revision {}, but {} was in force",
+          "{} holds a lease and uses revision {}, but {} was announced in "
+          "force",
           daemon->name, daemon->in_use, announced_in_force_);
     }
-    const resources::Revision released = announced_zones_[daemon->zone];
-    if (daemon->let_go < released) {
+    const resources::Revision announced = announced_zones_[daemon->zone];
+    if (daemon->released < announced) {
       report_.violation = fmt::format(
-          "{} holds a lease and let go up to {}, but {} was released",
-          daemon->name, daemon->let_go, released);
+          "{} holds a lease and released up to {}, but {} was announced "
+          "released",
+          daemon->name, daemon->released, announced);
     }
   }
 }
--- a/test/property/control/control_world.h
+++ b/test/property/control/control_world.h
@@ -1,9 +1,10 @@
-// A simulated control group with daemons: real LeaderRole, ControlState and
-// SessionState under loss, delay, drifting clocks, daemons that crash or are
-// cut off, and leaders that are cut off or frozen and come back. Consensus is a
-// stand-in that keeps its promises: one log, and a leader lease that ends
-// before the next leader is elected. After each step the world checks what the
-// watermarks promise.
+// A simulated control group with daemons. It runs the real LeaderRole,
+// ControlState and SessionState under message loss, delay and clock drift, with
+// daemons that crash or are partitioned, and leaders that are partitioned or
+// paused and recover. A model replaces raft and has the same guarantees: one
+// log, and a leader lease that expires before the next leader is elected. After
+// each event the world checks the guarantees of the watermarks. The test owns
+// the world; all times are simulated.
 #pragma once
 
 #include <cstdint>
@@ -22,21 +23,21 @@
 
 namespace juniperway::control::testing {
 
-// A mechanism taken away, which the checks must notice.
+// A disabled mechanism, which the checks must detect.
 enum class Defect {
   kNone,
-  // A leader trusts its lease for longer than consensus grants it.
+  // A leader uses its leader lease for longer than consensus grants it.
   kLeaderLeaseTooLong,
-  // A new leader takes no member to hold a lease.
-  kForgetsLeases,
-  // The daemon counts its lease from the answer, not from its heartbeat.
+  // A new leader assumes that no member holds a lease.
+  kDropsLeases,
+  // A daemon counts its lease from the answer instead of from its heartbeat.
   kLeaseFromAnswer,
-  // The daemon confirms a revision before it uses it.
-  kConfirmsEarly,
-  // The daemon says that it let go of back ends before it did.
-  kReleasesEarly,
-  // Clocks drift by more than the stated bound.
-  kClocksDrift,
+  // A daemon confirms a revision before it uses the revision.
+  kEarlyConfirmation,
+  // A daemon reports that it released backends before it has done so.
+  kEarlyRelease,
+  // Clocks drift by more than the maximum that the lease table assumes.
+  kExcessiveClockDrift,
 };
 
 struct WorldOptions {
@@ -47,9 +48,9 @@
 };
 
 struct WorldReport {
-  // The first broken promise; empty: none.
+  // The violated guarantee; empty: none.
   std::string violation;
-  // What the run met.
+  // Numbers of events in the run, which show that it exercised the faults.
   std::uint64_t leaders = 0;
   std::uint64_t grants = 0;
   std::uint64_t lost_leases = 0;
@@ -58,6 +59,7 @@
   resources::Revision in_force = 0;
 };
 
+// Runs one seeded history.
 class ControlWorld {
  public:
   explicit ControlWorld(const WorldOptions& options);
@@ -81,20 +83,20 @@
   void At(MonotonicTime time, std::function<void()> run);
   // Runs `deliver` later, or never; not while the node is frozen.
   void ToNode(std::size_t node, std::function<void()> deliver);
-  void Later(std::function<void()> run);
+  void DeliverLater(std::function<void()> run);
   bool Chance(double probability);
-  Duration Between(Duration low, Duration high);
+  Duration RandomDuration(Duration low, Duration high);
 
-  // --- Consensus stand-in
+  // --- Consensus model
   void Elect();
-  void LoseLeader();
-  void Return(std::size_t node);
+  void FailLeader();
+  void ReconnectNode(std::size_t node);
   Result<raft::Fsm::Proposal> Propose(std::size_t node, std::string command);
   void ApplyUpTo(std::size_t node, std::size_t count);
   raft::Status StatusOf(std::size_t node) const;
   bool HasLeaderLease(std::size_t node) const;
 
-  // --- Control machines
+  // --- Control nodes
   void MakeNode(std::size_t number);
   void TickNode(std::size_t node);
   void Forward(std::size_t daemon, std::uint64_t session,
@@ -110,8 +112,8 @@
   void Join(std::size_t daemon);
   MonotonicTime DaemonTime(const Daemon& daemon) const;
 
-  void ChangeSomething();
-  void CutOffSomeDaemon();
+  void WriteService();
+  void PartitionRandomDaemon();
   void Check();
 
   WorldOptions options_;
--- a/test/property/control/watermark_test.cc
+++ b/test/property/control/watermark_test.cc
@@ -1,5 +1,6 @@
-// In force and released are never said too early, whatever fails; and each
-// mechanism that this rests on is missed when it is taken away.
+// Checks that the watermarks `in force` and `zone released` are never announced
+// too early under any faults. Each defect disables a mechanism that this
+// depends on, and the check must detect it.
 #include <doctest/doctest.h>
 
 #include <string>
@@ -30,7 +31,7 @@
     const WorldReport report = ControlWorld({.seed = seed}).Run();
     CAPTURE(seed);
     CHECK(report.violation == "");
-    // It got on in spite of the faults.
+    // The watermark advanced in spite of the faults.
     CHECK(report.in_force > report.revision / 4);
     total.leaders += report.leaders;
     total.grants += report.grants;
@@ -47,28 +48,28 @@
                      << total.revision << ", in force " << total.in_force);
 }
 
-TEST_CASE("A leader that trusts its lease too long is found") {
+TEST_CASE("A leader that uses its leader lease too long is detected") {
   CHECK(FindViolation(Defect::kLeaderLeaseTooLong) != "");
 }
 
-TEST_CASE("A new leader that forgets the leases is found") {
-  CHECK(FindViolation(Defect::kForgetsLeases) != "");
+TEST_CASE("A new leader that ignores the leases of members is detected") {
+  CHECK(FindViolation(Defect::kDropsLeases) != "");
 }
 
-TEST_CASE("A lease counted from the answer is found") {
+TEST_CASE("A lease counted from the answer is detected") {
   CHECK(FindViolation(Defect::kLeaseFromAnswer) != "");
 }
 
-TEST_CASE("A confirmation before the use is found") {
-  CHECK(FindViolation(Defect::kConfirmsEarly) != "");
+TEST_CASE("A confirmation before the daemon uses the revision is detected") {
+  CHECK(FindViolation(Defect::kEarlyConfirmation) != "");
 }
 
-TEST_CASE("A release before the letting go is found") {
-  CHECK(FindViolation(Defect::kReleasesEarly) != "");
+TEST_CASE("A report of a release before the release is detected") {
+  CHECK(FindViolation(Defect::kEarlyRelease) != "");
 }
 
-TEST_CASE("Clocks that drift beyond the stated bound are found") {
-  CHECK(FindViolation(Defect::kClocksDrift) != "");
+TEST_CASE("Clocks that drift beyond the configured maximum are detected") {
+  CHECK(FindViolation(Defect::kExcessiveClockDrift) != "");
 }
 
 }  // namespace
--- a/test/unit/control/lease_table_test.cc
+++ b/test/unit/control/lease_table_test.cc
@@ -1,4 +1,4 @@
-// How many daemons with a lease know a revision.
+// Tests which shares of the daemons with a lease have reached a revision.
 #include "common/control/lease_table.h"
 
 #include <doctest/doctest.h>
@@ -41,13 +41,13 @@
   MonotonicTime now{seconds(100)};
 };
 
-TEST_CASE("a new leader takes no daemon to know anything") {
+TEST_CASE("a new leader assumes that no daemon has confirmed a revision") {
   Table table;
   CHECK(table.leases.PartsOf(10).confirmed == 0);
   CHECK(table.leases.PartsOf(10).released == 0);
 }
 
-TEST_CASE("parts count daemons with a lease") {
+TEST_CASE("the shares count the daemons with a lease") {
   Table table;
   table.leases.OnHeartbeat(Heartbeat("a", 1, 11), table.now);
   table.leases.OnHeartbeat(Heartbeat("b", 1, 11), table.now);
@@ -60,8 +60,9 @@
   CHECK(table.leases.PartsOf(11).confirmed == 1);
 }
 
-// Guards against roll-outs that wait for the lease of a process that has ended.
-TEST_CASE("a daemon that has started anew is not waited for") {
+// Guards against rollouts that wait until the lease of an ended process
+// expires.
+TEST_CASE("the replaced incarnation of a restarted daemon does not count") {
   Table table;
   for (const std::string name : {"a", "b", "c"}) {
     table.leases.OnHeartbeat(Heartbeat(name, 1, 11), table.now);
--- a/test/unit/control/member_repair_test.cc
+++ b/test/unit/control/member_repair_test.cc
@@ -1,4 +1,4 @@
-// Which control machine is promoted or removed next.
+// Tests which control node is promoted or removed next.
 #include "common/control/member_repair.h"
 
 #include <doctest/doctest.h>
@@ -6,7 +6,7 @@
 namespace juniperway::control {
 namespace {
 
-// Node 1 leads; the others' progress is what a test says.
+// A group that node 1 leads. Tests change the progress of the other nodes.
 struct Group {
   raft::Progress& Add(raft::NodeId id, bool voter, const std::string& address) {
     raft::Progress progress;
@@ -49,7 +49,7 @@
   MonotonicTime now{seconds(100)};
 };
 
-TEST_CASE("nothing changes while all is well or nobody is ready") {
+TEST_CASE("nothing changes while no voter is lost or no learner is ready") {
   Group group;
   CHECK(group.Next() == "");
   group.two->active = false;
@@ -57,21 +57,22 @@
   CHECK(group.Next(seconds(60)) == "");
 }
 
-TEST_CASE("a spare machine waits until a voter is gone, then takes its place") {
+TEST_CASE("a learner stays one until a voter is lost, then replaces it") {
   Group group;
   group.Add(4, false, "10.0.0.4:1");
   CHECK(group.Next(seconds(5)) == "");
   group.two->active = false;
-  CHECK(group.Next() == "");  // it may be back soon
+  CHECK(group.Next() == "");  // The voter may become active again soon.
   CHECK(group.Next(seconds(2)) == "promote 4");
-  // Done: four voters, one of them gone.
+  // The promotion is applied: there are four voters, one of them lost.
   group.status.progress[2].voter = true;
   group.status.configuration.voters.push_back({4, "10.0.0.4:1"});
   group.status.configuration.learners.clear();
   CHECK(group.Next() == "remove 2");
 }
 
-TEST_CASE("a machine that came back without its data replaces itself at once") {
+TEST_CASE(
+    "a node that restarted without its data replaces its old member at once") {
   Group group;
   group.two->active = false;
   CHECK(group.Next() == "");
@@ -87,14 +88,14 @@
   CHECK(group.Next(seconds(5)) == "");
 }
 
-TEST_CASE("a group that is too small grows") {
+TEST_CASE("a group with too few voters promotes a learner") {
   Group group;
   group.repair = MemberRepair({.wanted_voters = 5});
   group.Add(4, false, "10.0.0.4:1");
   CHECK(group.Next() == "promote 4");
 }
 
-TEST_CASE("a learner that went away is forgotten in the end") {
+TEST_CASE("a learner that stays inactive is removed") {
   Group group;
   group.Add(4, false, "10.0.0.4:1").active = false;
   CHECK(group.Next() == "");
