--- a/source/common/control/change_table.cc
+++ b/source/common/control/change_table.cc
@@ -16,14 +16,15 @@
     order_.push_back(change_id);
   }
   if (order_.size() > kMaximumChanges) {
-    DropOldest();
+    EvictOldest();
   }
 }
 
 void ChangeTable::Expire(WallTime now) {
-  const std::int64_t limit = (now - kChangeMemory).time_since_epoch().count();
+  const std::int64_t limit =
+      (now - kChangeTimeToLive).time_since_epoch().count();
   while (!order_.empty() && changes_.at(order_.front()).wall_time_us <= limit) {
-    DropOldest();
+    EvictOldest();
   }
 }
 
@@ -36,7 +37,7 @@
   return records;
 }
 
-void ChangeTable::DropOldest() {
+void ChangeTable::EvictOldest() {
   changes_.erase(order_.front());
   order_.pop_front();
 }
--- a/source/common/control/change_table.h
+++ b/source/common/control/change_table.h
@@ -1,7 +1,8 @@
-// First outcomes of changes by change id, so that a change that is sent again
-// after its answer was lost gets that outcome and no second effect. Part of the
-// replicated state. Bounded by age and by number: a resend later than that is
-// still stopped by its resource versions, and only gets 409 in place of its
+// Stores the first outcome of each change by change id, so that a change that
+// is resent after its answer was lost gets the same outcome and has no second
+// effect. Part of the replicated state; ControlState owns it. The age and the
+// number of the records are bounded. When the record of a change is gone, the
+// resource versions still stop a resend, which then gets 409 instead of the
 // first outcome.
 #pragma once
 
@@ -15,18 +16,20 @@
 
 namespace juniperway::control {
 
-inline constexpr Duration kChangeMemory = seconds(24 * 3600);
+// Time to live of a record.
+inline constexpr Duration kChangeTimeToLive = seconds(24 * 3600);
 inline constexpr std::size_t kMaximumChanges = 100000;
 
+// Change records, in the order of their insertion.
 class ChangeTable {
  public:
   // The record of a change id, or null.
   const protocol::ChangeRecordT* Find(const std::string& change_id) const;
 
-  // Adds the first outcome of a new change id.
+  // Adds the first outcome of a change id. Keeps an existing record.
   void Insert(protocol::ChangeRecordT&& record);
 
-  // Forgets what is older than kChangeMemory at `now`.
+  // Drops records that are kChangeTimeToLive old or older at `now`.
   void Expire(WallTime now);
 
   std::size_t size() const { return changes_.size(); }
@@ -35,7 +38,7 @@
   std::vector<const protocol::ChangeRecordT*> Records() const;
 
  private:
-  void DropOldest();
+  void EvictOldest();
 
   std::map<std::string, protocol::ChangeRecordT> changes_;
   // Change ids, oldest first.
--- a/source/common/control/claim_store.cc
+++ b/source/common/control/claim_store.cc
@@ -21,7 +21,8 @@
     return {session::ClaimDecision::kGranted, std::nullopt};
   }
   if (expiry > entry.expiry) {
-    // A caller that resends with a later expiry must not outlive the record.
+    // A client that resends with a later expiry may retry until then, so the
+    // claim must be kept as long.
     entry.expiry = expiry;
     Schedule(claim);
   }
--- a/source/common/control/claim_store.h
+++ b/source/common/control/claim_store.h
@@ -1,6 +1,7 @@
-// Claims of requests that must run at most once: who claimed an id first, until
-// when the id is remembered, and how the request ended. Part of the replicated
-// state; time is the state's wall time, which never goes back.
+// Claims of requests that must run at most once: which daemon claimed a request
+// id first, until when the claim is kept, and the outcome of the request. Part
+// of the replicated state; ControlState owns it. Times are wall times of the
+// state, which never decrease.
 #pragma once
 
 #include <cstddef>
@@ -17,24 +18,29 @@
 
 namespace juniperway::control {
 
+// Claims by service and request id.
 class ClaimStore {
  public:
-  // Records a claim, or says why not. A resend of the same attempt gets its
-  // first outcome as long as the id has not expired.
-  // @param now the state's wall time; ids whose expiry is not after it are
-  //   refused, so that an id that was forgotten is never granted again.
+  // Grants a claim or returns why not. A resend of the same attempt is granted
+  // again as long as the claim has not expired.
+  // @param now the wall time of the state. A claim whose expiry is not after
+  //   `now` is refused, so that an id whose claim has expired is not granted
+  //   again.
   session::ClaimReply Claim(const protocol::ClaimRequestT& request,
                             WallTime now);
 
-  // Records how a request ended; only its claimant's first word counts.
+  // Records the outcome of a request. Only the first outcome that the claimant
+  // reports counts.
   void RecordOutcome(const protocol::RecordOutcomeT& record);
 
-  // Forgets every id whose expiry is not after `now`.
+  // Drops every claim whose expiry is not after `now`.
   void Expire(WallTime now);
 
   std::size_t size() const { return claims_.size(); }
 
+  // All claims as records of a snapshot.
   std::vector<protocol::ClaimRecordT> Encode() const;
+  // Restores a claim from a snapshot.
   void Insert(const protocol::ClaimRecordT& record);
 
  private:
@@ -49,7 +55,8 @@
   void Schedule(Claims::const_iterator claim);
 
   Claims claims_;
-  // Ids by expiry. An entry whose claim was extended since is stale.
+  // Keys of claims by expiry. An entry is stale when its claim was extended
+  // after it was added.
   std::multimap<WallTime, session::ClaimKey> expiries_;
 };
 
--- a/source/common/control/control_state.cc
+++ b/source/common/control/control_state.cc
@@ -23,7 +23,7 @@
           builder.GetSize()};
 }
 
-// The table in `data`, or null when it does not verify.
+// The table in `data`, or null when it is not a valid one.
 template <typename Table>
 const Table* Verify(std::string_view data) {
   flatbuffers::Verifier verifier(
@@ -139,7 +139,7 @@
       ids.push_back({item.resource_kind, item.name});
     }
   }
-  // Items of one name with different index versions stand side by side.
+  // Items with the same name and different index versions are adjacent.
   ids.erase(std::unique(ids.begin(), ids.end()), ids.end());
   return ids;
 }
@@ -203,7 +203,8 @@
 Result<ControlState> ControlState::DecodeSnapshot(std::string_view data) {
   const auto* table = Verify<protocol::StateSnapshot>(data);
   if (table == nullptr) {
-    return MakeError(ErrorCode::kCorrupt, "", "the snapshot does not decode");
+    return MakeError(ErrorCode::kCorrupt, "",
+                     "the data is not a valid snapshot of the control state");
   }
   protocol::StateSnapshotT snapshot;
   table->UnPackTo(&snapshot);
--- a/source/common/control/control_state.h
+++ b/source/common/control/control_state.h
@@ -1,7 +1,9 @@
-// The replicated state machine of the control machines: resources, membership,
-// reports, serving index versions, claims and change ids. Pure and
-// deterministic: every machine that applies the same commands has the same
-// state. Time is the leader's wall time in each command, kept monotone.
+// The replicated state machine of the control group: resources, membership,
+// backend reports, serving index versions, claims, change ids, crash records
+// and rollouts. Each control node owns one. It does no I/O and is
+// deterministic: all nodes that apply the same commands have the same state.
+// The time is the leader's wall time in each command; the state ignores steps
+// back.
 #pragma once
 
 #include <optional>
@@ -22,25 +24,26 @@
 
 // More claims than this are refused (kTooLarge) until some expire.
 inline constexpr std::size_t kMaximumClaims = 2000000;
-// How far a claim's expiry may lie past the service's maximum_expiry, for the
-// difference of the caller's clock and the leader's.
+// How far the expiry of a claim may exceed the service's maximum_expiry, to
+// allow for the difference between the clocks of the client and the leader.
 inline constexpr Duration kClaimClockAllowance = seconds(60);
 
-// What one command did.
+// Effects of one command.
 struct AppliedCommand {
-  // One for each operation, in order.
+  // One result for each operation, in order.
   std::vector<protocol::OperationResultT> results;
-  // Daemons that joined, left or were removed.
+  // Daemons whose membership has changed.
   std::set<std::string> changed_members;
 };
 
 // Serializes a command for the consensus log.
 std::string EncodeCommand(const protocol::CommandT& command);
 
+// The whole replicated state; only commands change it.
 class ControlState {
  public:
-  // Applies one command of the log. A command that does not decode is a broken
-  // invariant and aborts.
+  // Applies one command of the log. Aborts the process if the command does not
+  // decode, because a committed command always does.
   AppliedCommand Apply(std::string_view command);
   AppliedCommand Apply(const protocol::CommandT& command);
 
@@ -48,13 +51,13 @@
   // @return kCorrupt when `data` is not a snapshot.
   static Result<ControlState> DecodeSnapshot(std::string_view data);
 
-  // For a state restored from a backup, where history went on after it: leaves
-  // out `revisions`, and raises the wall time, so that neither a revision nor a
-  // request id that may have been used since is taken for a new one.
+  // Skips `revisions` and raises the wall time in a state that is restored from
+  // a backup, so that the state does not reuse a revision or grant a request id
+  // that may have been used after the backup.
   void LeaveGap(resources::Revision revisions, WallTime wall_time);
 
   resources::Revision revision() const { return revision_; }
-  // Highest time stamped on a command so far.
+  // Highest timestamp of the commands so far.
   WallTime wall_time() const { return wall_time_; }
   const FleetStore& fleet() const { return fleet_; }
   const ClaimStore& claims() const { return claims_; }
@@ -63,20 +66,23 @@
     return changes_.Find(id);
   }
 
-  // What brings a daemon from `from` to this state: a full state when `from` is
-  // 0 or too old. `from` must not be above revision().
+  // The update that brings a daemon from revision `from` to this state: the
+  // full state when `from` is 0 or older than the revision log. `from` must not
+  // be above revision().
   protocol::FleetUpdateT UpdateSince(resources::Revision from) const;
 
-  // Resources that changed after `from`; nothing when that is too old.
+  // Resources that changed after `from`; nullopt when `from` is older than the
+  // revision log.
   std::optional<std::vector<resources::ResourceId>> ResourcesChangedSince(
       resources::Revision from) const;
 
  private:
   friend class OperationApplier;
 
-  // A change that daemons see: takes the next revision.
+  // Records a change that daemons see under the next revision.
   void Commit(std::vector<FleetItem> items);
-  // Serves newer snapshots of these services where the rule allows it.
+  // Raises the serving versions of these services where NextServingVersion()
+  // returns one.
   void AdvanceServing(const std::set<std::string>& services);
 
   resources::Revision revision_ = 0;
--- a/source/common/control/fleet_store.cc
+++ b/source/common/control/fleet_store.cc
@@ -20,7 +20,8 @@
              : std::get_if<Specification>(&resource->specification);
 }
 
-// Removes a member of an index's set, and the set with its last member.
+// Removes `member` from the entry of `key`, and the entry when it becomes
+// empty.
 template <typename Index, typename Member>
 void EraseFromIndex(Index& index, const std::string& key,
                     const Member& member) {
@@ -137,7 +138,7 @@
   if (const auto* backend = SpecificationOf<Backend>(&resource)) {
     EraseFromIndex(backends_by_service_, backend->service, name);
     auto at_address = backends_by_address_.find(backend->address);
-    // Another back end of the same set may have taken the address already.
+    // Another backend of the same set may already have this address.
     if (at_address != backends_by_address_.end() &&
         at_address->second == name) {
       backends_by_address_.erase(at_address);
--- a/source/common/control/fleet_store.h
+++ b/source/common/control/fleet_store.h
@@ -1,5 +1,7 @@
-// The part of the replicated state that daemons see: resources, members, back
-// ends' reports and serving index versions, with the indexes over them.
+// The part of the replicated state that daemons see: resources, members,
+// reports of backends, serving index versions, the route table, discovered
+// backends, zone evacuations, crash records and rollouts, with indexes over the
+// resources. ControlState owns it.
 #pragma once
 
 #include <cstdint>
@@ -15,24 +17,25 @@
 
 namespace juniperway::control {
 
-// The routing configuration as it was written; see routes/route_table.h.
+// The route table as the operator wrote it; see routes/route_table.h.
 struct StoredRouteTable {
-  std::uint64_t version = 0;  // 0: none was written
+  std::uint64_t version = 0;  // 0: there is no route table.
   CompressedBytes content;
 };
 
+// Keeps the indexes consistent with the resources.
 class FleetStore {
  public:
   // The resource, or null.
   const resources::Resource* Find(const resources::ResourceId& id) const;
-  // Its specification when it exists, else null.
+  // The specification of a resource, or null.
   const resources::Service* FindService(const std::string& name) const;
   const resources::Backend* FindBackend(const std::string& name) const;
   // The snapshot of a service at an index version, or null.
   const resources::IndexSnapshot* FindSnapshot(
       const std::string& service, resources::IndexVersion version) const;
 
-  // Writes a resource, whatever was there before.
+  // Adds or replaces a resource.
   void Put(const resources::Resource& resource);
   void Erase(const resources::ResourceId& id);
 
@@ -40,24 +43,27 @@
       const {
     return resources_;
   }
-  // Back ends of a service, by name.
+  // Names of the Backend resources of a service.
   const std::set<std::string>& BackendsOf(const std::string& service) const;
   // Snapshots of a service: index version to resource name.
   const std::map<resources::IndexVersion, std::string>& SnapshotsOf(
       const std::string& service) const;
-  // The back end declared with that address, or empty.
+  // Name of the Backend resource with this address, or empty.
   std::string BackendAt(const std::string& address) const;
 
-  // A back end gets no new work: by the operator, the platform or itself.
+  // Whether the operator, the platform or the backend itself has requested that
+  // the backend gets no new work.
   bool IsDraining(const std::string& backend) const;
-  // Back ends of a service with this version that are in use.
+  // Number of discovered backends of a service with this version that do not
+  // drain.
   std::size_t CountDiscovered(const std::string& service,
                               const std::string& version) const;
-  // A daemon owns nothing and gets no new work: by itself, the platform or the
-  // operator.
+  // Whether the daemon itself, the platform or the operator has requested that
+  // the daemon owns no backends and gets no new work.
   bool IsLeaving(const session::Member& member) const;
 
-  // As replicated; the sources of IsDraining and IsLeaving are apart.
+  // The replicated values. IsDraining() and IsLeaving() combine several of
+  // them.
   std::map<std::string, session::Member> members;
   std::map<std::string, session::BackendReport> reports;
   std::map<std::string, resources::IndexVersion> serving;
@@ -65,9 +71,9 @@
   std::map<std::string, resources::IndexVersion> published;
   std::set<std::string> platform_leaving;
   StoredRouteTable route_table;
-  // Back ends for HTTP forwarding, by id.
+  // Backends for HTTP forwarding, by id.
   std::map<std::string, session::DiscoveredBackend> discovered;
-  // By zone.
+  // Evacuations in effect, by zone.
   std::map<std::string, session::ZoneEvacuation> evacuations;
   CrashRecords crashes;
   rollout::Rollouts rollouts;
--- a/source/common/control/revision_log.h
+++ b/source/common/control/revision_log.h
@@ -1,6 +1,7 @@
-// Which items of the fleet changed at which revision: the source of updates and
-// watches from a given revision. Not part of snapshots; after a restart from a
-// snapshot it begins at the snapshot's revision. Bounded by number of items.
+// Records which items of the fleet changed at which revision, as the source of
+// updates and watches from a given revision. ControlState owns it. Snapshots do
+// not contain the log; after a restart from a snapshot it begins at the
+// revision of the snapshot. The number of items bounds its size.
 #pragma once
 
 #include <compare>
@@ -16,9 +17,10 @@
 
 namespace juniperway::control {
 
+// When the log contains more items, it drops its oldest revisions.
 inline constexpr std::size_t kMaximumLoggedItems = 65536;
 
-// Names something that daemons see.
+// Identifies a part of the state that daemons see.
 struct FleetItem {
   enum class Kind {
     kResource,
@@ -34,12 +36,12 @@
   Kind kind = Kind::kResource;
   // kResource only.
   resources::Kind resource_kind = resources::Kind::kService;
-  // Name of the resource, daemon, back end, service (also of a roll-out) or
-  // zone; id of a discovered back end.
+  // Name of the resource, daemon, backend, service (also for kServing and
+  // kRollout) or zone; id of a discovered backend.
   std::string name;
   // kCrashingRequest only.
   RequestFingerprint request{};
-  // Index snapshots only: daemons know them by these.
+  // Index snapshots only: daemons identify them by service and version.
   std::string service;
   resources::IndexVersion index_version = 0;
 
@@ -48,20 +50,24 @@
   auto operator<=>(const FleetItem&) const = default;
 };
 
+// An item that its kind and name identify; for all kinds except kResource and
+// kCrashingRequest.
 FleetItem NamedItem(FleetItem::Kind kind, const std::string& name);
 
+// Changes of the most recent revisions, oldest first.
 class RevisionLog {
  public:
   explicit RevisionLog(std::size_t capacity = kMaximumLoggedItems)
       : capacity_(capacity) {}
 
-  // Forgets everything; the next record follows `revision`.
+  // Drops all records. The next record must follow `revision`.
   void Reset(resources::Revision revision);
 
-  // Records what changed at `revision`, one past the last.
+  // Records the items that changed at `revision`, which follows the last one.
   void Record(resources::Revision revision, std::vector<FleetItem> items);
 
-  // Every item that changed after `from`; nothing when that is too old.
+  // All items that changed after `from`; nullopt when the log does not reach
+  // back to `from`.
   std::optional<std::set<FleetItem>> ItemsSince(resources::Revision from) const;
 
  private:
@@ -72,7 +78,7 @@
 
   std::size_t capacity_;
   std::size_t item_count_ = 0;
-  // Changes after this revision are known.
+  // The log contains all changes after this revision.
   resources::Revision floor_ = 0;
   std::deque<Change> records_;
 };
--- a/source/common/control/serving_rule.h
+++ b/source/common/control/serving_rule.h
@@ -1,5 +1,6 @@
-// When a new index snapshot is served: once each of its partitions has enough
-// live holders. The serving version of a service only grows.
+// Decides when a service starts to serve a new index snapshot: when enough
+// backends hold each of its partitions. The serving version of a service only
+// grows.
 #pragma once
 
 #include <optional>
@@ -9,13 +10,14 @@
 
 namespace juniperway::control {
 
-// Whether each partition of the snapshot has `required_holders` back ends of
-// the service that do not drain, have the shard, and report the index version.
+// Whether each partition of the snapshot has at least the service's
+// `required_holders` backends that do not drain, have the partition's shard and
+// report the index version.
 bool HasRequiredHolders(const FleetStore& store, const std::string& service,
                         resources::IndexVersion version);
 
-// The highest index version above the serving one that can be served now, if
-// there is one.
+// The highest index version above the serving one that has its required
+// holders, if there is one.
 std::optional<resources::IndexVersion> NextServingVersion(
     const FleetStore& store, const std::string& service);
 
--- a/test/property/control/state_test.cc
+++ b/test/property/control/state_test.cc
@@ -1,6 +1,7 @@
-// Seeded histories of changes, resends, races, claims and snapshots on the
-// replicated state, against a plain model of what was promised; and the check's
-// own test: a mechanism taken away must be missed.
+// Runs seeded histories of changes, resends, concurrent writes, claims and
+// snapshots on the replicated state and compares them with a simple model of
+// the guarantees. Each defect disables a mechanism, and the check must detect
+// it.
 #include <doctest/doctest.h>
 #include <fmt/format.h>
 
@@ -25,11 +26,11 @@
 
 enum class Defect {
   kNone,
-  kSnapshotForgetsChanges,
-  kSnapshotForgetsClaims,
+  kSnapshotOmitsChanges,
+  kSnapshotOmitsClaims,
   kClockStepsBack,
   kIgnoresVersions,
-  kChangeIdsMadeUp,
+  kNewChangeIds,
 };
 
 struct FirstOutcome {
@@ -42,7 +43,7 @@
  public:
   History(std::uint64_t seed, Defect defect) : random_(seed), defect_(defect) {}
 
-  // @return what broke a promise; empty: nothing.
+  // @return the violated guarantee; empty: none.
   std::string Run() {
     ApplyService("setup", kOnce, 0, 0);
     for (int step = 0; step < kSteps && violation_.empty(); ++step) {
@@ -51,7 +52,7 @@
     return violation_;
   }
 
-  std::map<std::string, int> met;
+  std::map<std::string, int> event_counts;
 
  private:
   void Step() {
@@ -69,7 +70,7 @@
         Claim();
         break;
       case 6:
-        // Another leader's clock may be behind.
+        // The clock of the next leader may be behind.
         clock_ += milliseconds(random_() % 3000);
         clock_ -= random_() % 6 == 0 ? seconds(8) : seconds(0);
         break;
@@ -78,9 +79,9 @@
     }
   }
 
-  void Expect(bool holds, const std::string& what) {
+  void Expect(bool holds, const std::string& violation) {
     if (!holds && violation_.empty()) {
-      violation_ = what;
+      violation_ = violation;
     }
   }
 
@@ -111,8 +112,8 @@
     service.request_classes = {{"search", true}, {"once", false}};
     resource.specification = service;
     protocol::ApplyResourcesT apply;
-    apply.change_id = defect_ == Defect::kChangeIdsMadeUp
-                          ? fmt::format("made-{}", ++made_up_)
+    apply.change_id = defect_ == Defect::kNewChangeIds
+                          ? fmt::format("made-{}", ++new_change_ids_)
                           : change_id;
     apply.digest = digest;
     apply.resources.push_back(std::make_unique<protocol::ResourceRecordT>(
@@ -120,7 +121,7 @@
     return Run(session::MakeOperation(std::move(apply)));
   }
 
-  // A change with an id that may have been used, at a version that may be old.
+  // Applies a change whose id may have been used and whose version may be old.
   void Change() {
     const std::string id = fmt::format("change-{}", random_() % 60);
     const std::string name = fmt::format("service-{}", random_() % 3);
@@ -132,7 +133,7 @@
     const auto result = ApplyService(id, name, version, digest);
     auto first = outcomes_.find(id);
     if (first != outcomes_.end()) {
-      ++met["resend"];
+      ++event_counts["resend"];
       Expect(state_.revision() == before, "a resend had an effect");
       const bool same = first->second.digest == digest;
       const auto error = ErrorOf(result);
@@ -151,37 +152,38 @@
                   resources::Revision current, resources::Revision before,
                   const protocol::OperationResultT& result) {
     if (version == current) {
-      ++met["accepted"];
+      ++event_counts["accepted"];
       Expect(!result.error, "a change at the current version was refused");
       Expect(result.revision > before && CurrentVersion(name) > current,
              "an accepted change had no effect");
       return;
     }
-    ++met["conflict"];
+    ++event_counts["conflict"];
     Expect(
         ErrorOf(result) == ErrorCode::kConflict && state_.revision() == before,
         "a change at an old version was not refused");
     Expect(result.resources.size() == 1 &&
                result.resources.front()->version == current,
-           "a conflict does not carry the current object");
+           "a conflict does not contain the current resource");
   }
 
-  // Several writers at one version.
+  // Several operators write the same version; one of them must succeed.
   void Race() {
     const std::string name = fmt::format("service-{}", random_() % 3);
     const resources::Revision version = CurrentVersion(name);
-    const auto writers = 2 + random_() % 4;
+    const auto operators = 2 + random_() % 4;
     std::uint64_t winners = 0;
-    for (std::uint64_t writer = 0; writer < writers; ++writer) {
+    for (std::uint64_t operator_index = 0; operator_index < operators;
+         ++operator_index) {
       const auto result =
           ApplyService(fmt::format("race-{}", ++races_), name, version, 1);
       winners += result.error ? 0 : 1;
       Expect(!result.error ||
                  (result.resources.size() == 1 &&
                   result.resources.front()->version == CurrentVersion(name)),
-             "a loser did not get the current object");
+             "an operator that lost a race did not get the current resource");
     }
-    ++met["race"];
+    ++event_counts["race"];
     Expect(winners == 1, fmt::format("{} winners in a race", winners));
   }
 
@@ -203,16 +205,16 @@
     if (!granted) {
       return;
     }
-    ++met["granted"];
+    ++event_counts["granted"];
     Expect(expiry > now_, "a claim past its expiry was granted");
     const auto owner = std::tuple(claimant, attempt);
     auto [grant, is_new] = grants_.try_emplace(id, owner, expiry);
     if (is_new) {
       return;
     }
-    // The same id may be claimed anew only once its expiry has passed.
+    // The same id may be claimed again only after its expiry.
     if (grant->second.second > now_) {
-      ++met["claim resend"];
+      ++event_counts["claim resend"];
       Expect(grant->second.first == owner, "two claims of one id were granted");
       grant->second.second = std::max(grant->second.second, expiry);
     } else {
@@ -221,14 +223,14 @@
   }
 
   void RestoreFromSnapshot() {
-    ++met["snapshot"];
+    ++event_counts["snapshot"];
     std::string data = state_.EncodeSnapshot();
     protocol::StateSnapshotT snapshot;
     flatbuffers::GetRoot<protocol::StateSnapshot>(data.data())
         ->UnPackTo(&snapshot);
-    if (defect_ == Defect::kSnapshotForgetsChanges) {
+    if (defect_ == Defect::kSnapshotOmitsChanges) {
       snapshot.changes.clear();
-    } else if (defect_ == Defect::kSnapshotForgetsClaims) {
+    } else if (defect_ == Defect::kSnapshotOmitsClaims) {
       snapshot.claims.clear();
     } else if (defect_ == Defect::kClockStepsBack) {
       snapshot.wall_time_us = 0;
@@ -254,7 +256,7 @@
   std::mt19937_64 random_;
   Defect defect_;
   ControlState state_;
-  // The leader's clock, and the latest that a command was stamped with.
+  // The leader's clock, and the highest timestamp of a command so far.
   WallTime clock_ = kStart;
   WallTime now_ = kStart;
   std::string violation_;
@@ -263,7 +265,7 @@
            std::pair<std::tuple<std::string, std::uint64_t>, WallTime>>
       grants_;
   std::uint64_t races_ = 0;
-  std::uint64_t made_up_ = 0;
+  std::uint64_t new_change_ids_ = 0;
 };
 
 std::string FindViolation(Defect defect) {
@@ -277,29 +279,29 @@
   return "";
 }
 
-TEST_CASE("Races, resends and claims keep their promises on all seeds") {
-  std::map<std::string, int> met;
+TEST_CASE("Races, resends and claims keep their guarantees on all seeds") {
+  std::map<std::string, int> event_counts;
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     History history(seed, Defect::kNone);
     CAPTURE(seed);
     CHECK(history.Run() == "");
-    for (const auto& [what, count] : history.met) {
-      met[what] += count;
+    for (const auto& [event, count] : history.event_counts) {
+      event_counts[event] += count;
     }
   }
-  for (const char* what : {"resend", "accepted", "conflict", "race", "granted",
-                           "claim resend", "snapshot"}) {
-    CAPTURE(what);
-    CHECK(met[what] > static_cast<int>(kSeeds));
+  for (const char* event : {"resend", "accepted", "conflict", "race", "granted",
+                            "claim resend", "snapshot"}) {
+    CAPTURE(event);
+    CHECK(event_counts[event] > static_cast<int>(kSeeds));
   }
 }
 
-TEST_CASE("Each mechanism taken away is missed") {
-  CHECK(FindViolation(Defect::kSnapshotForgetsChanges) != "");
-  CHECK(FindViolation(Defect::kSnapshotForgetsClaims) ==
+TEST_CASE("Each disabled mechanism is detected") {
+  CHECK(FindViolation(Defect::kSnapshotOmitsChanges) != "");
+  CHECK(FindViolation(Defect::kSnapshotOmitsClaims) ==
         "two claims of one id were granted");
   CHECK(FindViolation(Defect::kIgnoresVersions) != "");
-  CHECK(FindViolation(Defect::kChangeIdsMadeUp) != "");
+  CHECK(FindViolation(Defect::kNewChangeIds) != "");
   CHECK(FindViolation(Defect::kClockStepsBack) ==
         "a claim past its expiry was granted");
 }
