--- a/test/property/control/state_test.cc
+++ b/test/property/control/state_test.cc
@@ -79,9 +79,9 @@
     }
   }
 
-  void Expect(bool holds, const std::string& violation) {
+  void Expect(bool holds, const std::string& message) {
     if (!holds && violation_.empty()) {
-      violation_ = violation;
+      violation_ = message;
     }
   }
 
