--- a/test/property/control/control_world.cc
+++ b/test/property/control/control_world.cc
@@ -61,7 +61,7 @@
   // Revision that the daemon uses, and the one up to which it has released
   // backends.
   resources::Revision in_use = 0;
-  resources::Revision released_revision = 0;
+  resources::Revision released_up_to = 0;
   // Highest revision sent to the daemon.
   resources::Revision pending = 0;
   bool had_lease = false;
@@ -441,7 +441,7 @@
   ++daemon.incarnation;
   ++daemon.session;
   daemon.in_use = 0;
-  daemon.released_revision = 0;
+  daemon.released_up_to = 0;
   daemon.pending = 0;
   daemon.had_lease = false;
   daemon.state = std::make_unique<session::SessionState>(
@@ -535,8 +535,8 @@
           [this, number, start, revision] {
             Daemon& releaser = *daemons_[number];
             if (!releaser.crashed && releaser.incarnation == start) {
-              releaser.released_revision =
-                  std::max(releaser.released_revision, revision);
+              releaser.released_up_to =
+                  std::max(releaser.released_up_to, revision);
               releaser.state->OnReleased(revision);
             }
           });
@@ -587,11 +587,11 @@
           daemon->name, daemon->in_use, announced_in_force_);
     }
     const resources::Revision announced = announced_zones_[daemon->zone];
-    if (daemon->released_revision < announced) {
+    if (daemon->released_up_to < announced) {
       report_.violation = fmt::format(
           "{} holds a lease and released up to {}, but {} was announced "
           "released",
-          daemon->name, daemon->released_revision, announced);
+          daemon->name, daemon->released_up_to, announced);
     }
   }
 }
