--- a/source/common/control/control_state.h
+++ b/source/common/control/control_state.h
@@ -22,7 +22,7 @@
 
 namespace juniperway::control {
 
-// More claims than this are refused (kTooLarge) until some expire.
+// With this many claims, the state refuses more (kTooLarge) until some expire.
 inline constexpr std::size_t kMaximumClaims = 2000000;
 // How far the expiry of a claim may exceed the service's maximum_expiry, to
 // allow for the difference between the clocks of the client and the leader.
--- a/test/property/control/control_world.h
+++ b/test/property/control/control_world.h
@@ -81,7 +81,8 @@
 
   // --- Time and network
   void At(MonotonicTime time, std::function<void()> run);
-  // Runs `deliver` later, or never; not while the node is frozen.
+  // Runs `deliver` after a network delay unless the message is lost. A paused
+  // node runs it when it resumes; a partitioned node never does.
   void ToNode(std::size_t node, std::function<void()> deliver);
   void DeliverLater(std::function<void()> run);
   bool Chance(double probability);
