--- a/source/common/control/command_pipeline.cc
+++ b/source/common/control/command_pipeline.cc
@@ -57,12 +57,12 @@
           MakeError(ErrorCode::kNotLeader, "", "leadership was lost"));
       continue;
     }
-    OperationResults own;
+    OperationResults batch_results;
     for (std::size_t i = 0; i < batch.operation_count; ++i) {
-      own.push_back(std::make_unique<protocol::OperationResultT>(
+      batch_results.push_back(std::make_unique<protocol::OperationResultT>(
           std::move(results.at(next++))));
     }
-    batch.callback(std::move(own));
+    batch.callback(std::move(batch_results));
   }
 }
 
--- a/source/common/control/control_node.cc
+++ b/source/common/control/control_node.cc
@@ -21,9 +21,9 @@
 // move goes over every lease.
 constexpr Duration kAdvanceDelay = milliseconds(5);
 // How long a machine that stops waits for calls under way once another leads.
-constexpr Duration kStopDrainTime = milliseconds(500);
+constexpr Duration kStopDrainTimeout = milliseconds(500);
 constexpr Duration kMetricsInterval = seconds(1);
-constexpr Duration kNeverRead = seconds(-1);
+constexpr Duration kListNeverRead = seconds(-1);
 constexpr const char* kBackupFileName = "backup.db";
 
 std::string_view RoleName(raft::Role role) {
@@ -120,35 +120,36 @@
 void ControlNode::OnRaftChange() {
   const raft::Status status = driver_->GetStatus();
   const MonotonicTime now = ReadMonotonicClock();
-  const bool another_leader = status.leader != known_status_.leader ||
-                              status.role != known_status_.role ||
-                              status.term != known_status_.term;
-  if (another_leader) {
-    NoteRole(status);
+  const bool leadership_changed = status.leader != known_status_.leader ||
+                                  status.role != known_status_.role ||
+                                  status.term != known_status_.term;
+  if (leadership_changed) {
+    LogRoleChange(status);
   }
-  NoteMembers(status);
+  UpdateMembers(status);
   known_status_ = status;
   role_->Update(status, now);
-  if (another_leader) {
+  if (leadership_changed) {
     leader_client_->Tick(now);
   }
 }
 
-void ControlNode::NoteRole(const raft::Status& status) {
+void ControlNode::LogRoleChange(const raft::Status& status) {
   logging::LogEvent(kRoleChanged, {{"node", options_.node_id},
                                    {"role", RoleName(status.role)},
                                    {"term", status.term},
                                    {"leader", status.leader}});
 }
 
-void ControlNode::NoteMembers(const raft::Status& status) {
+void ControlNode::UpdateMembers(const raft::Status& status) {
   if (status.configuration != known_status_.configuration) {
     const auto members = raft::AllMembers(status.configuration);
     peers_->SetPeers(members);
     sessions_->SetControlMembers(members);
   }
   for (const raft::Progress& progress : status.progress) {
-    if (progress.regressed && lost_data_.insert(progress.member.id).second) {
+    if (progress.regressed &&
+        members_with_lost_data_.insert(progress.member.id).second) {
       logging::LogEvent(kMemberLostData, {{"node", progress.member.id},
                                           {"match", progress.match}});
     }
@@ -180,8 +181,8 @@
         [](const raft::Fsm::Proposal& /*proposal*/) {});
   }
   // The call is tried again, and reaches the next leader then.
-  if (auto handed_over = TransferLeadership(); !handed_over) {
-    return handed_over;
+  if (auto transferred = TransferLeadership(); !transferred) {
+    return transferred;
   }
   return MakeError(ErrorCode::kUnavailable, "id",
                    "leads now and hands leadership over first");
@@ -261,7 +262,7 @@
   leader_client_->Tick(now);
   sessions_->Tick(now);
   api_server_->Tick(now);
-  AskToJoin(now);
+  RequestMembership(now);
   UpdateMetrics(now);
   if (on_stopped_) {
     ContinueStop(now);
@@ -273,20 +274,21 @@
     return;
   }
   next_metrics_update_ = now + kMetricsInterval;
-  const bool was_read = list_read_ != MonotonicTime::min();
-  metrics_.Update(driver_->GetStatus(), state_.revision(),
-                  state_.fleet().route_table.version, sessions_->size(),
-                  was_read ? Duration(now - list_read_) : kNeverRead);
+  const bool was_read = discovery_list_read_at_ != MonotonicTime::min();
+  metrics_.Update(
+      driver_->GetStatus(), state_.revision(),
+      state_.fleet().route_table.version, sessions_->size(),
+      was_read ? Duration(now - discovery_list_read_at_) : kListNeverRead);
 }
 
-void ControlNode::AskToJoin(MonotonicTime now) {
+void ControlNode::RequestMembership(MonotonicTime now) {
   if (!join_client_ || on_stopped_) {
     return;
   }
   const bool is_member =
       raft::IsMember(known_status_.configuration, options_.node_id);
-  const bool hears_leader = known_status_.leader != raft::kNoNode;
-  join_client_->Tick(now, is_member, hears_leader);
+  const bool knows_leader = known_status_.leader != raft::kNoNode;
+  join_client_->Tick(now, is_member, knows_leader);
 }
 
 void ControlNode::SetSeeds(const std::vector<std::string>& seeds) {
@@ -304,31 +306,32 @@
 
 Result<void> ControlNode::TransferLeadership() {
   const raft::Status status = driver_->GetStatus();
-  const raft::Progress* best = nullptr;
+  const raft::Progress* successor = nullptr;
   for (const raft::Progress& progress : status.progress) {
-    const bool fit = progress.member.id != options_.node_id && progress.voter &&
-                     progress.active && progress.caught_up &&
-                     !progress.regressed;
-    if (fit && (best == nullptr || progress.match > best->match)) {
-      best = &progress;
+    const bool eligible = progress.member.id != options_.node_id &&
+                          progress.voter && progress.active &&
+                          progress.caught_up && !progress.regressed;
+    if (eligible &&
+        (successor == nullptr || progress.match > successor->match)) {
+      successor = &progress;
     }
   }
-  if (best == nullptr) {
+  if (successor == nullptr) {
     return MakeError(ErrorCode::kUnavailable, "",
                      "no other voter could take over now");
   }
-  return driver_->TransferLeadership(best->member.id);
+  return driver_->TransferLeadership(successor->member.id);
 }
 
 void ControlNode::ContinueStop(MonotonicTime now) {
   const bool leads = known_status_.role == raft::Role::kLeader;
-  const bool alone = known_status_.configuration.voters.size() <= 1;
-  if (leads && !alone && now < stop_deadline_) {
+  const bool is_only_voter = known_status_.configuration.voters.size() <= 1;
+  if (leads && !is_only_voter && now < stop_deadline_) {
     static_cast<void>(TransferLeadership());  // Tried again each tick.
     return;
   }
-  stop_deadline_ = std::min(stop_deadline_, now + kStopDrainTime);
-  const bool idle = leader_client_->idle() || alone;
+  stop_deadline_ = std::min(stop_deadline_, now + kStopDrainTimeout);
+  const bool idle = leader_client_->idle() || is_only_voter;
   if (!idle && now < stop_deadline_) {
     return;
   }
--- a/source/common/control/control_node.h
+++ b/source/common/control/control_node.h
@@ -63,7 +63,7 @@
   RaftDriver::Callbacks DriverCallbacks();
   void MakePeers();
   void MakeListener();
-  void MakeRole();
+  void MakeLeaderRole();
   void MakeLeaderClient();
   void MakeSessions();
   void MakeApi();
@@ -76,8 +76,8 @@
   void Apply(const raft::Entry& entry);
   void Install(const raft::Snapshot& snapshot);
   void OnRaftChange();
-  void NoteRole(const raft::Status& status);
-  void NoteMembers(const raft::Status& status);
+  void LogRoleChange(const raft::Status& status);
+  void UpdateMembers(const raft::Status& status);
   void OnStateChanged();
   // This machine only while it leads; kNoNode when nobody is known to.
   raft::NodeId KnownLeader() const;
@@ -112,7 +112,7 @@
   void Tick(MonotonicTime now);
   Result<void> TransferLeadership();
   void ContinueStop(MonotonicTime now);
-  void AskToJoin(MonotonicTime now);
+  void RequestMembership(MonotonicTime now);
   void UpdateMetrics(MonotonicTime now);
 
   asio::io_context& context_;
@@ -120,7 +120,7 @@
   ControlMetrics metrics_;
   MonotonicTime next_metrics_update_ = MonotonicTime::min();
   // When this machine last read the discovery list whole.
-  MonotonicTime list_read_ = MonotonicTime::min();
+  MonotonicTime discovery_list_read_at_ = MonotonicTime::min();
   std::uint64_t seed_;
   asio::steady_timer tick_timer_;
   asio::steady_timer advance_timer_;
@@ -135,7 +135,7 @@
   raft::Status known_status_;
   SnapshotAssembler snapshot_assembler_;
   // Members last seen without their data.
-  std::set<raft::NodeId> lost_data_;
+  std::set<raft::NodeId> members_with_lost_data_;
 
   std::shared_ptr<RaftDriver> driver_;
   std::shared_ptr<PeerNetwork> peers_;
--- a/source/common/control/control_node_peers.cc
+++ b/source/common/control/control_node_peers.cc
@@ -39,9 +39,9 @@
 void ControlNode::OnSnapshotPart(raft::NodeId from,
                                  const protocol::SnapshotPartT& part) {
   peers_->Send(from, protocol::ConsensusMessagesT{});
-  const auto whole = snapshot_assembler_.Add(from, part);
-  if (whole && whole->from == from) {
-    driver_->Step(*whole);
+  const auto complete = snapshot_assembler_.Add(from, part);
+  if (complete && complete->from == from) {
+    driver_->Step(*complete);
   }
 }
 
@@ -66,7 +66,7 @@
   } else if (const auto* observed = message.AsBackendObservations()) {
     observations_->OnDigest(session::DecodeObservations(*observed));
     // Shows that the path is alive: followers say little else to each other.
-    peers_->SendLast(from, protocol::ConsensusMessagesT{});
+    peers_->SendOneWay(from, protocol::ConsensusMessagesT{});
   } else if (const auto* operations = message.AsForwardOperations()) {
     OnForwardedOperations(from, *operations);
   } else if (const auto* results = message.AsForwardOperationsReply()) {
--- a/source/common/control/control_node_setup.cc
+++ b/source/common/control/control_node_setup.cc
@@ -13,20 +13,20 @@
 namespace juniperway::control {
 namespace {
 
-bool IsBlank(const raft::InitialState& state) {
+bool IsEmptyState(const raft::InitialState& state) {
   return state.hard_state == raft::HardState{} && state.entries.empty() &&
          state.snapshot.index == 0 &&
          state.snapshot.configuration == raft::Configuration{};
 }
 
 // What the store holds; in a blank one the first configuration is stored.
-raft::InitialState LoadStore(const ControlServerOptions& options,
-                             storage::LogStore& store) {
+raft::InitialState LoadOrBootstrapStore(const ControlServerOptions& options,
+                                        storage::LogStore& store) {
   auto state = store.Load();
   if (!state) {
     throw std::runtime_error(FormatError(state.error()));
   }
-  if (!IsBlank(*state) || options.initial_members.empty()) {
+  if (!IsEmptyState(*state) || options.initial_members.empty()) {
     return std::move(*state);
   }
   raft::Snapshot snapshot;
@@ -48,7 +48,7 @@
   return seed != 0 ? seed : std::random_device()();
 }
 
-[[noreturn]] void EndProcess(const Error& error) {
+[[noreturn]] void ExitProcess(const Error& error) {
   LOG(ERROR) << FormatError(error);
   google::FlushLogFiles(google::GLOG_INFO);
   std::_Exit(EXIT_FAILURE);
@@ -65,7 +65,7 @@
       seed_(DrawSeed(options.seed)),
       tick_timer_(context),
       advance_timer_(context) {
-  raft::InitialState initial = LoadStore(options_, *store);
+  raft::InitialState initial = LoadOrBootstrapStore(options_, *store);
   if (!initial.snapshot.data.empty()) {
     auto state = ControlState::DecodeSnapshot(initial.snapshot.data);
     if (!state) {
@@ -75,7 +75,7 @@
   }
   MakeDriver(std::move(initial), std::move(store));
   MakePeers();
-  MakeRole();
+  MakeLeaderRole();
   MakeLeaderClient();
   MakeSessions();
   MakeListener();
@@ -118,7 +118,7 @@
       .on_failure =
           [this](const Error& error) {
             options_.on_store_failure ? options_.on_store_failure(error)
-                                      : EndProcess(error);
+                                      : ExitProcess(error);
           }};
 }
 
@@ -135,10 +135,11 @@
   listener_ = std::make_unique<PeerListener>(
       context_, options_.peer_listen, options_.cluster, options_.node_id,
       PeerListener::Ports{
-          .adopt_peer =
+          .on_peer_connected =
               [this](const protocol::PeerHelloT& hello,
                      PeerListener::Connection connection) {
-                peers_->Adopt(hello.node_id, std::move(connection));
+                peers_->AddIncomingConnection(hello.node_id,
+                                              std::move(connection));
                 sessions_->SetControlPlace(hello.node_id,
                                            {hello.zone, hello.region});
               },
@@ -160,7 +161,7 @@
               [this](std::uint64_t session) { sessions_->OnClosed(session); }});
 }
 
-void ControlNode::MakeRole() {
+void ControlNode::MakeLeaderRole() {
   LeaderRole::Options role_options;
   role_options.leases.lease = options_.lease_duration;
   role_options.leases.maximum_clock_drift = options_.maximum_clock_drift;
@@ -213,7 +214,7 @@
               [this] { return role_->IsLeading(ReadMonotonicClock()); },
           .on_list =
               [this](const DiscoveryList& list) {
-                list_read_ = ReadMonotonicClock();
+                discovery_list_read_at_ = ReadMonotonicClock();
                 role_->OnDiscoveryList(list);
               },
           .on_faults =
--- a/source/common/control/join_client.cc
+++ b/source/common/control/join_client.cc
@@ -8,18 +8,18 @@
 namespace juniperway::control {
 namespace {
 
-constexpr Duration kAskInterval = milliseconds(300);
-constexpr Duration kAskTimeout = milliseconds(900);
+constexpr Duration kRequestInterval = milliseconds(300);
+constexpr Duration kRequestTimeout = milliseconds(900);
 // A member that hears no leader for longer than an election takes may have
 // been replaced meanwhile.
-constexpr Duration kPatience = seconds(3);
+constexpr Duration kLeaderlessTimeout = seconds(3);
 
 }  // namespace
 
 JoinClient::JoinClient(asio::io_context& context, raft::Member self)
     : self_(std::move(self)),
       client_(context, /*maximum_connections_per_host=*/1),
-      last_well_(ReadMonotonicClock()) {}
+      last_leader_seen_(ReadMonotonicClock()) {}
 
 JoinClient::~JoinClient() { *alive_ = false; }
 
@@ -27,26 +27,28 @@
   seeds_ = std::move(seeds);
 }
 
-void JoinClient::Tick(MonotonicTime now, bool is_member, bool hears_leader) {
-  if (is_member && hears_leader) {
-    last_well_ = now;
+void JoinClient::Tick(MonotonicTime now, bool is_member, bool knows_leader) {
+  if (is_member && knows_leader) {
+    last_leader_seen_ = now;
     return;
   }
-  const bool patient = is_member && now - last_well_ < kPatience;
-  if (patient || asking_ || seeds_.empty() || now < next_ask_) {
+  const bool awaits_election =
+      is_member && now - last_leader_seen_ < kLeaderlessTimeout;
+  if (awaits_election || request_in_flight_ || seeds_.empty() ||
+      now < next_request_) {
     return;
   }
-  Ask(now);
+  RequestMembership(now);
 }
 
-void JoinClient::Ask(MonotonicTime now) {
-  asking_ = true;
-  next_ask_ = now + kAskInterval;
+void JoinClient::RequestMembership(MonotonicTime now) {
+  request_in_flight_ = true;
+  next_request_ = now + kRequestInterval;
   const std::string seed = seeds_[next_seed_++ % seeds_.size()];
   net::HttpClientRequest request;
   request.method = "POST";
   request.url = "http://" + seed + "/v1/members";
-  request.timeout = kAskTimeout;
+  request.timeout = kRequestTimeout;
   request.body =
       nlohmann::json{{"node_id", self_.id}, {"address", self_.address}}.dump();
   client_.Start(
@@ -55,7 +57,7 @@
         if (!*alive) {
           return;
         }
-        asking_ = false;
+        request_in_flight_ = false;
         logging::LogEvent(
             kJoinRequested,
             {{"node", self_.id}, {"seed", seed}, {"status", response.status}});
--- a/source/common/control/join_client.h
+++ b/source/common/control/join_client.h
@@ -29,19 +29,19 @@
   // To be called a few times a second.
   // @param is_member this node is in the group's configuration.
   // @param hears_leader a leader is known (or is this node).
-  void Tick(MonotonicTime now, bool is_member, bool hears_leader);
+  void Tick(MonotonicTime now, bool is_member, bool knows_leader);
 
  private:
-  void Ask(MonotonicTime now);
+  void RequestMembership(MonotonicTime now);
 
   raft::Member self_;
   net::HttpClient client_;
   std::vector<std::string> seeds_;
   std::size_t next_seed_ = 0;
   // Since when it is a member and hears a leader no more.
-  MonotonicTime last_well_;
-  MonotonicTime next_ask_ = MonotonicTime::min();
-  bool asking_ = false;
+  MonotonicTime last_leader_seen_;
+  MonotonicTime next_request_ = MonotonicTime::min();
+  bool request_in_flight_ = false;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/source/common/control/leader_client.cc
+++ b/source/common/control/leader_client.cc
@@ -15,12 +15,12 @@
 constexpr int kStatusUnavailable = 503;
 constexpr int kStatusDeadlineExceeded = 504;
 
-bool MustTryAgain(const Error& error) {
+bool IsRetryable(const Error& error) {
   return error.code == ErrorCode::kNotLeader ||
          error.code == ErrorCode::kUnavailable;
 }
 
-net::HttpResponse Unavailable(bool ever_sent) {
+net::HttpResponse MakeTimeoutResponse(bool ever_sent) {
   const Error error =
       ever_sent ? Error{ErrorCode::kDeadlineExceeded, "",
                         "no answer from the leader in time; the outcome is "
@@ -78,7 +78,7 @@
   pending.sent_at = now;
   if (leader == self_) {
     pending.ever_sent = true;
-    RunHere(id, pending);
+    RunLocally(id, pending);
   } else if (SendTo(id, pending, leader)) {
     pending.ever_sent = true;
   } else {
@@ -86,7 +86,7 @@
   }
 }
 
-void LeaderClient::RunHere(std::uint64_t id, Pending& pending) {
+void LeaderClient::RunLocally(std::uint64_t id, Pending& pending) {
   if (auto* call = std::get_if<PendingCall>(&pending.content)) {
     // A copy: the answer may come at once and end the entry.
     const ApiCall copy = call->call;
@@ -156,7 +156,7 @@
       !std::holds_alternative<PendingOperations>(pending->second.content)) {
     return;
   }
-  if (!result && MustTryAgain(result.error())) {
+  if (!result && IsRetryable(result.error())) {
     pending->second.sent_to = raft::kNoNode;  // the next Tick sends it
     return;
   }
@@ -199,18 +199,18 @@
         pending.sent_to != leader ||
         (leader != self_ && now - pending.sent_at >= kResendInterval);
     if (now >= pending.deadline) {
-      FailLate(id);
+      FailPending(id);
     } else if (leader != raft::kNoNode && resend) {
       Dispatch(id, now);
     }
   }
 }
 
-void LeaderClient::FailLate(std::uint64_t id) {
+void LeaderClient::FailPending(std::uint64_t id) {
   Pending pending = std::move(pending_.at(id));
   pending_.erase(id);
   if (auto* call = std::get_if<PendingCall>(&pending.content)) {
-    call->callback(Unavailable(pending.ever_sent));
+    call->callback(MakeTimeoutResponse(pending.ever_sent));
     return;
   }
   std::get<PendingOperations>(pending.content)
@@ -221,7 +221,7 @@
 
 void LeaderClient::Stop() {
   while (!pending_.empty()) {
-    FailLate(pending_.begin()->first);
+    FailPending(pending_.begin()->first);
   }
 }
 
--- a/source/common/control/leader_client.h
+++ b/source/common/control/leader_client.h
@@ -78,11 +78,11 @@
   std::uint64_t Add(std::variant<PendingOperations, PendingCall> content,
                     MonotonicTime deadline);
   void Dispatch(std::uint64_t id, MonotonicTime now);
-  void RunHere(std::uint64_t id, Pending& pending);
+  void RunLocally(std::uint64_t id, Pending& pending);
   bool SendTo(std::uint64_t id, const Pending& pending, raft::NodeId leader);
   void FinishOperations(std::uint64_t id, Result<OperationResults> result);
   void FinishCall(std::uint64_t id, net::HttpResponse response);
-  void FailLate(std::uint64_t id);
+  void FailPending(std::uint64_t id);
   static Operations Copy(const Operations& operations);
 
   raft::NodeId self_;
--- a/source/common/control/peer_listener.cc
+++ b/source/common/control/peer_listener.cc
@@ -32,25 +32,25 @@
 PeerListener::~PeerListener() { Close(); }
 
 void PeerListener::OnAccept(Connection connection) {
-  const std::uint64_t number = ++last_number_;
-  Inbound& inbound = inbound_[number];
+  const std::uint64_t inbound_id = ++last_inbound_id_;
+  Inbound& inbound = inbound_[inbound_id];
   inbound.connection = std::move(connection);
   inbound.accepted = ReadMonotonicClock();
   inbound.connection->Start(
-      [this, alive = alive_, number](net::FrameBytes bytes) {
+      [this, alive = alive_, inbound_id](net::FrameBytes bytes) {
         if (*alive) {
-          OnFrame(number, bytes);
+          OnFrame(inbound_id, bytes);
         }
       },
-      [this, alive = alive_, number] {
+      [this, alive = alive_, inbound_id] {
         if (*alive) {
-          OnClosed(number);
+          OnClosed(inbound_id);
         }
       });
 }
 
-void PeerListener::OnFrame(std::uint64_t number, net::FrameBytes bytes) {
-  auto found = inbound_.find(number);
+void PeerListener::OnFrame(std::uint64_t inbound_id, net::FrameBytes bytes) {
+  auto found = inbound_.find(inbound_id);
   if (found == inbound_.end()) {
     return;
   }
@@ -78,7 +78,7 @@
         (hello->receiver_id == raft::kNoNode || hello->receiver_id == node_id_);
     if (valid) {
       inbound.peer = hello->node_id;
-      ports_.adopt_peer(*hello, inbound.connection);
+      ports_.on_peer_connected(*hello, inbound.connection);
       return true;
     }
   }
@@ -89,8 +89,8 @@
   return false;
 }
 
-void PeerListener::OnClosed(std::uint64_t number) {
-  auto found = inbound_.find(number);
+void PeerListener::OnClosed(std::uint64_t inbound_id) {
+  auto found = inbound_.find(inbound_id);
   if (found == inbound_.end()) {
     return;
   }
@@ -102,10 +102,11 @@
 }
 
 void PeerListener::Tick(MonotonicTime now) {
-  for (auto& [number, inbound] : inbound_) {
-    const bool silent = inbound.peer == raft::kNoNode && inbound.session == 0 &&
-                        now - inbound.accepted > kHelloTimeout;
-    if (silent) {
+  for (auto& [inbound_id, inbound] : inbound_) {
+    const bool hello_overdue = inbound.peer == raft::kNoNode &&
+                               inbound.session == 0 &&
+                               now - inbound.accepted > kHelloTimeout;
+    if (hello_overdue) {
       inbound.connection->Close();
     }
   }
@@ -114,7 +115,7 @@
 void PeerListener::Close() {
   *alive_ = false;
   listener_.Close();
-  for (auto& [number, inbound] : inbound_) {
+  for (auto& [inbound_id, inbound] : inbound_) {
     inbound.connection->Close();
   }
   inbound_.clear();
--- a/source/common/control/peer_listener.h
+++ b/source/common/control/peer_listener.h
@@ -23,7 +23,8 @@
 
   struct Ports {
     // A control machine's connection, and its frames.
-    std::function<void(const protocol::PeerHelloT&, Connection)> adopt_peer;
+    std::function<void(const protocol::PeerHelloT&, Connection)>
+        on_peer_connected;
     std::function<void(raft::NodeId, net::FrameBytes, const Connection&)>
         on_peer_frame;
     // A daemon's session; 0: refused. Then its frames and its end.
@@ -61,15 +62,15 @@
   };
 
   void OnAccept(Connection connection);
-  void OnFrame(std::uint64_t number, net::FrameBytes bytes);
-  void OnClosed(std::uint64_t number);
+  void OnFrame(std::uint64_t inbound_id, net::FrameBytes bytes);
+  void OnClosed(std::uint64_t inbound_id);
   // @return false when the connection is to be closed.
   bool OnHello(Inbound& inbound, net::FrameBytes bytes);
 
   std::string cluster_;
   raft::NodeId node_id_;
   Ports ports_;
-  std::uint64_t last_number_ = 0;
+  std::uint64_t last_inbound_id_ = 0;
   std::map<std::uint64_t, Inbound> inbound_;
   // Handlers that outlive this object find it gone.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
--- a/source/common/control/peer_network.cc
+++ b/source/common/control/peer_network.cc
@@ -12,7 +12,7 @@
 constexpr Duration kReconnectInterval = milliseconds(200);
 // A machine that was sent frames and has been silent for this long is
 // connected anew: the path may be gone without a signal.
-constexpr Duration kSilenceTimeout = seconds(2);
+constexpr Duration kUnresponsiveTimeout = seconds(2);
 // Frames to a machine that does not read are dropped past this. The largest
 // snapshot fits.
 constexpr std::size_t kMaximumQueuedBytes = 1U << 30;
@@ -28,29 +28,29 @@
 
 void PeerNetwork::SetPeers(const std::vector<raft::Member>& members) {
   for (auto& [id, peer] : peers_) {
-    peer.wanted = false;
+    peer.should_connect = false;
   }
   for (const raft::Member& member : members) {
     if (member.id == identity_.node_id) {
       continue;
     }
     Peer& peer = peers_[member.id];
-    peer.wanted = true;
+    peer.should_connect = true;
     if (peer.address != member.address) {
       peer.address = member.address;
-      Drop(peer);
+      CloseConnections(peer);
     }
   }
   for (auto& [id, peer] : peers_) {
-    if (!peer.wanted && peer.outgoing.connection) {
+    if (!peer.should_connect && peer.outgoing.connection) {
       peer.outgoing.connection->Close();
       peer.outgoing = {};
     }
   }
 }
 
-void PeerNetwork::Adopt(raft::NodeId from,
-                        std::shared_ptr<net::FrameConnection> connection) {
+void PeerNetwork::AddIncomingConnection(
+    raft::NodeId from, std::shared_ptr<net::FrameConnection> connection) {
   Peer& peer = peers_[from];
   if (peer.incoming.connection) {
     peer.incoming.connection->Close();
@@ -69,7 +69,7 @@
   Peer& peer = peers_[from];
   for (Path* path : {&peer.outgoing, &peer.incoming}) {
     if (path->connection == connection) {
-      path->heard = ReadMonotonicClock();
+      path->last_received = ReadMonotonicClock();
     }
   }
   peer.unanswered_since = MonotonicTime::max();
@@ -79,12 +79,13 @@
 void PeerNetwork::Tick(MonotonicTime now) {
   for (auto& [id, peer] : peers_) {
     if (now > peer.unanswered_since &&
-        now - peer.unanswered_since > kSilenceTimeout) {
-      Drop(peer);
+        now - peer.unanswered_since > kUnresponsiveTimeout) {
+      CloseConnections(peer);
     }
     const Connection& outgoing = peer.outgoing.connection;
-    const bool down = !outgoing || outgoing->closed();
-    if (peer.wanted && down && !peer.connecting && now >= peer.next_attempt) {
+    const bool disconnected = !outgoing || outgoing->closed();
+    if (peer.should_connect && disconnected && !peer.connecting &&
+        now >= peer.next_attempt) {
       Connect(id, peer);
     }
   }
@@ -93,7 +94,7 @@
 void PeerNetwork::Stop() {
   stopped_ = true;
   for (auto& [id, peer] : peers_) {
-    Drop(peer);
+    CloseConnections(peer);
   }
   on_frame_ = nullptr;
 }
@@ -107,7 +108,8 @@
   Peer& peer = found->second;
   const Path* chosen = nullptr;
   for (const Path* path : {&peer.outgoing, &peer.incoming}) {
-    if (IsUsable(*path) && (chosen == nullptr || path->heard > chosen->heard)) {
+    if (IsUsable(*path) &&
+        (chosen == nullptr || path->last_received > chosen->last_received)) {
       chosen = path;
     }
   }
@@ -165,7 +167,7 @@
   if (!result) {
     return;
   }
-  if (stopped_ || !peer.wanted) {
+  if (stopped_ || !peer.should_connect) {
     (*result)->Close();
     return;
   }
@@ -190,7 +192,7 @@
   session::SendMessage(*peer.outgoing.connection, std::move(hello));
 }
 
-void PeerNetwork::Drop(Peer& peer) {
+void PeerNetwork::CloseConnections(Peer& peer) {
   for (Path* path : {&peer.outgoing, &peer.incoming}) {
     if (path->connection) {
       path->connection->Close();
--- a/source/common/control/peer_network.h
+++ b/source/common/control/peer_network.h
@@ -39,8 +39,8 @@
   void SetPeers(const std::vector<raft::Member>& members);
 
   // Takes over a connection that another machine opened and said hello on.
-  void Adopt(raft::NodeId from,
-             std::shared_ptr<net::FrameConnection> connection);
+  void AddIncomingConnection(raft::NodeId from,
+                             std::shared_ptr<net::FrameConnection> connection);
   // A frame that came on an adopted connection.
   void OnFrame(raft::NodeId from, net::FrameBytes bytes,
                const std::shared_ptr<net::FrameConnection>& connection);
@@ -55,7 +55,7 @@
   }
   // The same for the last message of an exchange, which nothing answers.
   template <typename Message>
-  bool SendLast(raft::NodeId to, Message message) {
+  bool SendOneWay(raft::NodeId to, Message message) {
     return SendOn(FindConnection(to, /*awaits_answer=*/false),
                   std::move(message));
   }
@@ -74,12 +74,12 @@
   struct Path {
     Connection connection;
     // When it was opened, or a frame last came on it.
-    MonotonicTime heard = MonotonicTime::min();
+    MonotonicTime last_received = MonotonicTime::min();
   };
 
   struct Peer {
     std::string address;  // empty: only it can connect
-    bool wanted = false;
+    bool should_connect = false;
     bool connecting = false;
     MonotonicTime next_attempt = MonotonicTime::min();
     Path outgoing;
@@ -101,7 +101,7 @@
   void Connect(raft::NodeId id, Peer& peer);
   void OnConnected(raft::NodeId id,
                    Result<std::shared_ptr<net::FrameConnection>> result);
-  void Drop(Peer& peer);
+  void CloseConnections(Peer& peer);
   // Open, and not overfull.
   static bool IsUsable(const Path& path);
 
--- a/source/common/control/raft_driver.cc
+++ b/source/common/control/raft_driver.cc
@@ -11,12 +11,12 @@
 namespace {
 
 // Bounds how long the timer sleeps when the state machine has no deadline.
-constexpr Duration kMaximumSleep = seconds(1);
-constexpr Duration kCommitNoteDelay = milliseconds(100);
+constexpr Duration kMaximumTimerDelay = seconds(1);
+constexpr Duration kCommitWriteDelay = milliseconds(100);
 constexpr Duration kFullDiskRetryInterval = milliseconds(200);
 // An entry to be applied at a restart costs about as much as this many bytes of
 // a snapshot to be read.
-constexpr std::size_t kSnapshotBytesAnEntry = 1024;
+constexpr std::size_t kSnapshotBytesPerEntry = 1024;
 
 }  // namespace
 
@@ -24,8 +24,8 @@
                      std::size_t log_entries, std::size_t snapshot_bytes) {
   return log_entries > 0 &&
          (log_bytes >= std::max(limits.bytes, snapshot_bytes) ||
-          log_entries >=
-              std::max(limits.entries, snapshot_bytes / kSnapshotBytesAnEntry));
+          log_entries >= std::max(limits.entries,
+                                  snapshot_bytes / kSnapshotBytesPerEntry));
 }
 
 RaftDriver::RaftDriver(asio::io_context& context, const raft::Options& options,
@@ -42,7 +42,7 @@
       fsm_(options, std::move(initial), ReadMonotonicClock()),
       applied_(fsm_.GetStatus().applied) {}
 
-void RaftDriver::Start() { ScheduleDrain(); }
+void RaftDriver::Start() { ScheduleProcessing(); }
 
 void RaftDriver::Stop() {
   stopped_ = true;
@@ -56,72 +56,72 @@
     return;  // As lost: it could not be answered.
   }
   fsm_.Step(message, ReadMonotonicClock());
-  ScheduleDrain();
+  ScheduleProcessing();
 }
 
 Result<raft::Fsm::Proposal> RaftDriver::Propose(std::string command) {
-  if (auto running = CheckRunning(); !running) {
+  if (auto running = CheckNotSuspended(); !running) {
     return tl::unexpected(running.error());
   }
   auto proposal = fsm_.Propose(std::move(command), ReadMonotonicClock());
-  ScheduleDrain();
+  ScheduleProcessing();
   return proposal;
 }
 
 Result<raft::Fsm::Proposal> RaftDriver::AddLearner(const raft::Member& member) {
-  if (auto running = CheckRunning(); !running) {
+  if (auto running = CheckNotSuspended(); !running) {
     return tl::unexpected(running.error());
   }
   auto proposal = fsm_.AddLearner(member, ReadMonotonicClock());
-  ScheduleDrain();
+  ScheduleProcessing();
   return proposal;
 }
 
 Result<raft::Fsm::Proposal> RaftDriver::PromoteLearner(raft::NodeId id) {
-  if (auto running = CheckRunning(); !running) {
+  if (auto running = CheckNotSuspended(); !running) {
     return tl::unexpected(running.error());
   }
   auto proposal = fsm_.PromoteLearner(id, ReadMonotonicClock());
-  ScheduleDrain();
+  ScheduleProcessing();
   return proposal;
 }
 
 Result<raft::Fsm::Proposal> RaftDriver::RemoveMember(raft::NodeId id) {
-  if (auto running = CheckRunning(); !running) {
+  if (auto running = CheckNotSuspended(); !running) {
     return tl::unexpected(running.error());
   }
   auto proposal = fsm_.RemoveMember(id, ReadMonotonicClock());
-  ScheduleDrain();
+  ScheduleProcessing();
   return proposal;
 }
 
 Result<void> RaftDriver::TransferLeadership(raft::NodeId to) {
-  if (auto running = CheckRunning(); !running) {
+  if (auto running = CheckNotSuspended(); !running) {
     return tl::unexpected(running.error());
   }
   auto result = fsm_.TransferLeadership(to, ReadMonotonicClock());
-  ScheduleDrain();
+  ScheduleProcessing();
   return result;
 }
 
-void RaftDriver::ScheduleDrain() {
-  if (drain_scheduled_ || stopped_) {
+void RaftDriver::ScheduleProcessing() {
+  if (processing_scheduled_ || stopped_) {
     return;
   }
-  drain_scheduled_ = true;
+  processing_scheduled_ = true;
   asio::post(context_, [self = shared_from_this()] {
-    self->drain_scheduled_ = false;
-    self->Drain();
+    self->processing_scheduled_ = false;
+    self->ProcessReady();
   });
 }
 
-void RaftDriver::Drain() {
+void RaftDriver::ProcessReady() {
   if (stopped_ || suspended()) {
     return;
   }
   for (raft::Ready ready = fsm_.TakeReady(); !ready.empty();
        ready = fsm_.TakeReady()) {
-    if (!CarryOut(std::move(ready)) || stopped_) {
+    if (!HandleReady(std::move(ready)) || stopped_) {
       return;
     }
   }
@@ -140,7 +140,7 @@
   ArmTimer();
 }
 
-bool RaftDriver::CarryOut(raft::Ready ready) {
+bool RaftDriver::HandleReady(raft::Ready ready) {
   callbacks_.send(std::move(ready.appends));
   ready.appends.clear();
   if (!Write(ready)) {
@@ -151,9 +151,9 @@
 }
 
 bool RaftDriver::Write(raft::Ready& ready) {
-  const bool durable =
+  const bool has_durable_data =
       ready.hard_state || ready.snapshot || !ready.entries.empty();
-  if (!durable) {
+  if (!has_durable_data) {
     return true;
   }
   const Result<void> written = store_->Write(ready);
@@ -173,7 +173,7 @@
     logging::LogEvent(kStoreFull,
                       {{"node", id_}, {"error", FormatError(error)}});
   }
-  unwritten_ = std::move(ready);
+  unwritten_ready_ = std::move(ready);
   callbacks_.on_change();
   timer_.expires_after(kFullDiskRetryInterval);
   timer_.async_wait([self = shared_from_this()](const asio::error_code& e) {
@@ -184,18 +184,18 @@
 }
 
 void RaftDriver::RetryWrite() {
-  raft::Ready ready = *unwritten_;
+  raft::Ready ready = *unwritten_ready_;
   if (!Write(ready)) {
     return;
   }
-  unwritten_.reset();
+  unwritten_ready_.reset();
   logging::LogEvent(kStoreWritable, {{"node", id_}});
   OnWritten(std::move(ready));
   fsm_.Tick(ReadMonotonicClock());
-  Drain();
+  ProcessReady();
 }
 
-Result<void> RaftDriver::CheckRunning() const {
+Result<void> RaftDriver::CheckNotSuspended() const {
   if (suspended()) {
     return MakeError(ErrorCode::kUnavailable, "",
                      "this machine's disk is full");
@@ -232,30 +232,30 @@
   }
   if (!committed.empty()) {
     fsm_.Applied(applied_);
-    ScheduleNoteCommit();
+    ScheduleCommitIndexWrite();
   }
 }
 
 // What was committed last is noted with the next write; where none comes, by a
 // write of its own.
-void RaftDriver::ScheduleNoteCommit() {
-  if (commit_note_scheduled_) {
+void RaftDriver::ScheduleCommitIndexWrite() {
+  if (commit_write_scheduled_) {
     return;
   }
-  commit_note_scheduled_ = true;
-  commit_timer_.expires_after(kCommitNoteDelay);
+  commit_write_scheduled_ = true;
+  commit_timer_.expires_after(kCommitWriteDelay);
   commit_timer_.async_wait([self = shared_from_this()](const auto& error) {
-    self->commit_note_scheduled_ = false;
+    self->commit_write_scheduled_ = false;
     if (!error && !self->stopped_ && !self->suspended()) {
-      self->NoteCommit();
+      self->WriteCommitIndex();
     }
   });
 }
 
-void RaftDriver::NoteCommit() {
-  raft::Ready note;
-  note.commit = applied_;
-  const Result<void> written = store_->Write(note);
+void RaftDriver::WriteCommitIndex() {
+  raft::Ready commit_update;
+  commit_update.commit = applied_;
+  const Result<void> written = store_->Write(commit_update);
   if (!written && written.error().code != ErrorCode::kNoSpace) {
     Fail(written.error());
   }
@@ -290,14 +290,14 @@
 void RaftDriver::ArmTimer() {
   const MonotonicTime now = ReadMonotonicClock();
   const MonotonicTime deadline =
-      std::min(fsm_.NextDeadline(), now + kMaximumSleep);
+      std::min(fsm_.NextDeadline(), now + kMaximumTimerDelay);
   timer_.expires_after(std::max(Duration(deadline - now), Duration(0)));
   timer_.async_wait([self = shared_from_this()](const asio::error_code& error) {
     if (error || self->stopped_) {
       return;
     }
     self->fsm_.Tick(ReadMonotonicClock());
-    self->Drain();
+    self->ProcessReady();
   });
 }
 
--- a/source/common/control/raft_driver.h
+++ b/source/common/control/raft_driver.h
@@ -67,28 +67,28 @@
     return fsm_.HasLeaderLease(now);
   }
   // The disk is full: the machine takes no part until there is room.
-  bool suspended() const { return unwritten_.has_value(); }
+  bool suspended() const { return unwritten_ready_.has_value(); }
   raft::Status GetStatus() const { return fsm_.GetStatus(); }
   Result<void> Backup(const std::filesystem::path& file) {
     return store_->Backup(file);
   }
 
  private:
-  void ScheduleDrain();
-  void Drain();
+  void ScheduleProcessing();
+  void ProcessReady();
   // @return false when the store failed or is full.
-  bool CarryOut(raft::Ready ready);
+  bool HandleReady(raft::Ready ready);
   // Writes and syncs. @return false when it could not.
   bool Write(raft::Ready& ready);
   // What comes after the sync.
   void OnWritten(raft::Ready ready);
   void Suspend(raft::Ready ready, const Error& error);
   void RetryWrite();
-  Result<void> CheckRunning() const;
+  Result<void> CheckNotSuspended() const;
   void Apply(const std::vector<raft::Entry>& committed);
   void CompactIfLarge();
-  void ScheduleNoteCommit();
-  void NoteCommit();
+  void ScheduleCommitIndexWrite();
+  void WriteCommitIndex();
   void ArmTimer();
   void Fail(const Error& error);
 
@@ -105,10 +105,10 @@
   std::size_t entries_since_snapshot_ = 0;
   // Size of the latest snapshot.
   std::size_t snapshot_bytes_ = 0;
-  bool commit_note_scheduled_ = false;
+  bool commit_write_scheduled_ = false;
   // What a full disk did not take yet.
-  std::optional<raft::Ready> unwritten_;
-  bool drain_scheduled_ = false;
+  std::optional<raft::Ready> unwritten_ready_;
+  bool processing_scheduled_ = false;
   bool stopped_ = false;
 };
 
--- a/source/common/control/snapshot_parts.cc
+++ b/source/common/control/snapshot_parts.cc
@@ -10,21 +10,21 @@
 
 void ForEachSnapshotPart(
     const raft::Message& message, std::size_t part_bytes,
-    const std::function<void(protocol::SnapshotPartT)>& take) {
+    const std::function<void(protocol::SnapshotPartT)>& on_part) {
   const std::string& data = message.snapshot->data;
-  raft::Message head = message;
-  head.snapshot->data.clear();
+  raft::Message header = message;
+  header.snapshot->data.clear();
   std::size_t offset = 0;
   do {
     const std::size_t size = std::min(part_bytes, data.size() - offset);
     protocol::SnapshotPartT part;
-    part.message = EncodeMessage(head);
+    part.message = EncodeMessage(header);
     part.message->snapshot->data.assign(
         data.begin() + static_cast<std::ptrdiff_t>(offset),
         data.begin() + static_cast<std::ptrdiff_t>(offset + size));
     part.offset = offset;
     part.total = data.size();
-    take(std::move(part));
+    on_part(std::move(part));
     offset += size;
   } while (offset < data.size());
 }
@@ -35,27 +35,27 @@
   if (!decoded || !decoded->snapshot) {
     return std::nullopt;
   }
-  auto known = partial_.find(from);
+  auto partial = partial_.find(from);
   if (part.offset == 0) {
     partial_.insert_or_assign(from, std::move(*decoded));
   } else {
     const bool continues =
-        known != partial_.end() && known->second.term == decoded->term &&
-        known->second.snapshot->index == decoded->snapshot->index &&
-        known->second.snapshot->data.size() == part.offset;
+        partial != partial_.end() && partial->second.term == decoded->term &&
+        partial->second.snapshot->index == decoded->snapshot->index &&
+        partial->second.snapshot->data.size() == part.offset;
     if (!continues) {
       partial_.erase(from);
       return std::nullopt;
     }
-    known->second.snapshot->data += decoded->snapshot->data;
+    partial->second.snapshot->data += decoded->snapshot->data;
   }
-  known = partial_.find(from);
-  if (known->second.snapshot->data.size() < part.total) {
+  partial = partial_.find(from);
+  if (partial->second.snapshot->data.size() < part.total) {
     return std::nullopt;
   }
-  raft::Message whole = std::move(known->second);
-  partial_.erase(known);
-  return whole;
+  raft::Message complete = std::move(partial->second);
+  partial_.erase(partial);
+  return complete;
 }
 
 }  // namespace juniperway::control
--- a/source/common/control/snapshot_parts.h
+++ b/source/common/control/snapshot_parts.h
@@ -16,7 +16,7 @@
 // snapshot without data is one part.
 void ForEachSnapshotPart(
     const raft::Message& message, std::size_t part_bytes,
-    const std::function<void(protocol::SnapshotPartT)>& take);
+    const std::function<void(protocol::SnapshotPartT)>& on_part);
 
 // Puts parts together, one snapshot for each sender. Parts come in order, but
 // the connection may break between them and the sender start anew.
--- a/source/common/control/store_restore.cc
+++ b/source/common/control/store_restore.cc
@@ -14,21 +14,22 @@
 
 namespace fs = std::filesystem;
 
-bool Holds(const raft::Configuration& configuration, raft::NodeId id) {
-  const auto is_it = [id](const raft::Member& member) {
+bool HasMember(const raft::Configuration& configuration, raft::NodeId id) {
+  const auto has_id = [id](const raft::Member& member) {
     return member.id == id;
   };
   return std::any_of(configuration.voters.begin(), configuration.voters.end(),
-                     is_it) ||
+                     has_id) ||
          std::any_of(configuration.learners.begin(),
-                     configuration.learners.end(), is_it);
+                     configuration.learners.end(), has_id);
 }
 
 // A machine of the old group that comes back must not be taken for one of the
 // new group.
-Result<void> CheckNewId(const storage::BackupContent& backup, raft::NodeId id) {
-  bool known =
-      id == backup.node || Holds(backup.state.snapshot.configuration, id);
+Result<void> CheckUnusedNodeId(const storage::BackupContent& backup,
+                               raft::NodeId id) {
+  bool is_known =
+      id == backup.node || HasMember(backup.state.snapshot.configuration, id);
   for (const raft::Entry& entry : backup.state.entries) {
     if (entry.kind != raft::EntryKind::kConfiguration) {
       continue;
@@ -37,9 +38,9 @@
     if (!configuration) {
       return tl::unexpected(configuration.error());
     }
-    known = known || Holds(*configuration, id);
+    is_known = is_known || HasMember(*configuration, id);
   }
-  if (known) {
+  if (is_known) {
     return MakeError(ErrorCode::kInvalidArgument, "--node-id",
                      std::to_string(id) +
                          " was a control machine of the backup's fleet; ids "
@@ -49,15 +50,17 @@
 }
 
 // Every claim of the old group expires before this: see kClaimClockAllowance.
-WallTime ClaimsFrom(const ControlState& state, WallTime now) {
-  Duration longest{0};
+WallTime EarliestClaimTime(const ControlState& state, WallTime now) {
+  Duration maximum_expiry_time{0};
   for (const auto& [id, resource] : state.fleet().resources()) {
     if (const auto* service =
             std::get_if<resources::Service>(&resource.specification)) {
-      longest = std::max(longest, service->maximum_expiry);
+      maximum_expiry_time =
+          std::max(maximum_expiry_time, service->maximum_expiry);
     }
   }
-  return std::max(now, state.wall_time()) + longest + kClaimClockAllowance;
+  return std::max(now, state.wall_time()) + maximum_expiry_time +
+         kClaimClockAllowance;
 }
 
 fs::path StoreFolder(const RestoreOptions& options) {
@@ -112,8 +115,8 @@
   return storage::SyncPath(folder.parent_path());
 }
 
-raft::Ready MakeFirstReady(const raft::InitialState& stored,
-                           const raft::Member& member, std::string data) {
+raft::Ready MakeInitialReady(const raft::InitialState& stored,
+                             const raft::Member& member, std::string data) {
   raft::Ready ready;
   raft::Snapshot snapshot = stored.snapshot;
   if (!stored.entries.empty()) {
@@ -153,15 +156,15 @@
 }
 
 Result<RestoredStore> RestoreStore(const RestoreOptions& options) {
-  if (auto usable = CheckFolder(StoreFolder(options)); !usable) {
-    return tl::unexpected(usable.error());
+  if (auto checked = CheckFolder(StoreFolder(options)); !checked) {
+    return tl::unexpected(checked.error());
   }
   auto backup = storage::ReadBackupFile(options.backup);
   if (!backup) {
     return tl::unexpected(backup.error());
   }
-  if (auto fresh = CheckNewId(*backup, options.member.id); !fresh) {
-    return tl::unexpected(fresh.error());
+  if (auto unused = CheckUnusedNodeId(*backup, options.member.id); !unused) {
+    return tl::unexpected(unused.error());
   }
   auto state = StateOfBackup(backup->state);
   if (!state) {
@@ -171,12 +174,12 @@
   restored.cluster =
       options.cluster.empty() ? backup->cluster : options.cluster;
   restored.backup_revision = state->revision();
-  restored.claims_from = ClaimsFrom(*state, options.now);
+  restored.claims_from = EarliestClaimTime(*state, options.now);
   state->LeaveGap(options.skipped_revisions, restored.claims_from);
   restored.revision = state->revision();
   restored.resources = state->fleet().resources().size();
   const raft::Ready ready =
-      MakeFirstReady(backup->state, options.member, state->EncodeSnapshot());
+      MakeInitialReady(backup->state, options.member, state->EncodeSnapshot());
   if (auto published = PublishStore(options, restored.cluster, ready);
       !published) {
     return tl::unexpected(published.error());
--- a/test/integration/control/control_server_test.cc
+++ b/test/integration/control/control_server_test.cc
@@ -100,7 +100,7 @@
     clients.push_back(group.MakeClient("gateway-" + name, "zone-" + name));
     clients.back()->Start();
   }
-  const auto all_near = [&] {
+  const auto all_in_own_zone = [&] {
     for (std::size_t position = 0; position < group.size(); ++position) {
       const auto& client = *clients[position];
       if (client.ControlAddress() != group.Address(position) ||
@@ -110,7 +110,7 @@
     }
     return true;
   };
-  REQUIRE(RunUntil(context, all_near));
+  REQUIRE(RunUntil(context, all_in_own_zone));
   // Lost, it is left for another one; back, it gets its daemons again.
   group.Crash(1);
   REQUIRE(RunUntil(context, [&] {
@@ -119,7 +119,7 @@
            clients[1]->HasLease(ReadMonotonicClock());
   }));
   group.Restart(1);
-  CHECK(RunUntil(context, all_near));
+  CHECK(RunUntil(context, all_in_own_zone));
 }
 
 }  // namespace
--- a/test/integration/control/leader_loss_test.cc
+++ b/test/integration/control/leader_loss_test.cc
@@ -18,7 +18,7 @@
 namespace juniperway::test {
 namespace {
 
-constexpr Duration kLimit = seconds(60);
+constexpr Duration kWaitTimeout = seconds(60);
 constexpr int kOk = 200;
 const std::string kGateway = "a-gateway-1";
 
@@ -32,8 +32,8 @@
 }
 
 // "control-2" has the API at position 1.
-std::size_t PositionOf(const std::string& machine) {
-  return std::stoul(machine.substr(machine.find('-') + 1)) - 1;
+std::size_t PositionOf(const std::string& node) {
+  return std::stoul(node.substr(node.find('-') + 1)) - 1;
 }
 
 std::string PathOf(const std::string& service) {
@@ -42,15 +42,15 @@
 
 // Whether a read of an accepted resource may get this status. Unavailable is
 // right; 404, "there is no such service", would be an old state.
-bool IsHonest(int status) {
+bool IsCurrentOrUnavailable(int status) {
   return status == kOk || status == 503 || status == 504;
 }
 
 // Reads that are the first thing a machine sees when it is back: they are sent
 // over connections from before it was frozen, before anything else is.
-class WaitingReads {
+class QueuedReads {
  public:
-  explicit WaitingReads(std::string address)
+  explicit QueuedReads(std::string address)
       : address_(std::move(address)), client_(context_, 0) {
     Send("/v1/status");
     REQUIRE(Finish().size() == kReads);
@@ -61,7 +61,7 @@
     for (std::size_t read = 0; read < kReads; ++read) {
       net::HttpClientRequest request;
       request.url = "http://" + address_ + path;
-      request.timeout = kLimit;
+      request.timeout = kWaitTimeout;
       client_.Start(std::move(request),
                     [this](const net::HttpClientResponse& response) {
                       statuses_.push_back(response.status);
@@ -74,7 +74,7 @@
 
   std::vector<int> Finish() {
     REQUIRE(RunUntil(
-        context_, [this] { return statuses_.size() == kReads; }, kLimit));
+        context_, [this] { return statuses_.size() == kReads; }, kWaitTimeout));
     return statuses_;
   }
 
@@ -91,7 +91,7 @@
 
   std::string WaitForLeader() {
     std::optional<std::string> leader;
-    REQUIRE(lab::WaitFor(kLimit, [&] {
+    REQUIRE(lab::WaitFor(kWaitTimeout, [&] {
       leader = fleet->LeaderName();
       return leader.has_value();
     }));
@@ -99,15 +99,15 @@
   }
 
   // Applies a new service and remembers what was accepted.
-  void Accept(const std::string& name) {
-    const auto change =
-        fleet->control().Apply({MakeService(name, 0)}, "id-" + name, kLimit);
+  void ApplyAndRecord(const std::string& name) {
+    const auto change = fleet->control().Apply({MakeService(name, 0)},
+                                               "id-" + name, kWaitTimeout);
     REQUIRE(change.has_value());
     accepted[name] = change->revision;
   }
 
   void WaitInForce(const std::string& name) {
-    REQUIRE(lab::WaitFor(kLimit, [&] {
+    REQUIRE(lab::WaitFor(kWaitTimeout, [&] {
       const auto change =
           fleet->control().GetAnywhere("/v1/changes/id-" + name);
       return change.status == kOk && change.body["state"] == "in_force";
@@ -117,7 +117,7 @@
   // The first answer of the next leader must not take it back.
   void CheckStillInForce(const std::string& name) {
     lab::ControlReply change;
-    REQUIRE(lab::WaitFor(kLimit, [&] {
+    REQUIRE(lab::WaitFor(kWaitTimeout, [&] {
       change = fleet->control().GetAnywhere("/v1/changes/id-" + name);
       return change.status == kOk;
     }));
@@ -132,8 +132,8 @@
       const auto read = fleet->control().GetAnywhere(PathOf(name));
       REQUIRE(read.status == kOk);
       CHECK(read.body["version"] == revision);
-      const auto resent =
-          fleet->control().Apply({MakeService(name, 0)}, "id-" + name, kLimit);
+      const auto resent = fleet->control().Apply({MakeService(name, 0)},
+                                                 "id-" + name, kWaitTimeout);
       REQUIRE(resent.has_value());
       CHECK(resent->revision == revision);
     }
@@ -147,26 +147,26 @@
   for (int round = 0; round < 2; ++round) {
     const std::string leader = test.WaitForLeader();
     const std::string before = fmt::format("before-{}", round);
-    test.Accept(before);
+    test.ApplyAndRecord(before);
     test.WaitInForce(before);
     // One change is under way when the leader dies; its caller sends it again.
-    const std::string torn = fmt::format("torn-{}", round);
+    const std::string interrupted = fmt::format("torn-{}", round);
     const auto first = test.fleet->control().ApplyOnce(
-        PositionOf(leader), {MakeService(torn, 0)}, "id-" + torn,
+        PositionOf(leader), {MakeService(interrupted, 0)}, "id-" + interrupted,
         microseconds(1500));
     test.fleet->Kill(leader);
     test.CheckStillInForce(before);
-    test.Accept(torn);
+    test.ApplyAndRecord(interrupted);
     if (first.status == kOk) {
-      CHECK(first.body["revision"] == test.accepted[torn]);
+      CHECK(first.body["revision"] == test.accepted[interrupted]);
     }
-    test.Accept(fmt::format("after-{}", round));
+    test.ApplyAndRecord(fmt::format("after-{}", round));
     test.CheckNothingLost();
     REQUIRE(test.fleet->Restart(leader).has_value());
     // It catches up from its store and the others.
-    REQUIRE(lab::WaitFor(kLimit, [&] {
-      const auto read = test.fleet->control().Get(PositionOf(leader),
-                                                  PathOf(torn) + "?local=true");
+    REQUIRE(lab::WaitFor(kWaitTimeout, [&] {
+      const auto read = test.fleet->control().Get(
+          PositionOf(leader), PathOf(interrupted) + "?local=true");
       return read.status == kOk;
     }));
   }
@@ -174,29 +174,29 @@
     const auto status = test.fleet->control().GetAnywhere("/v1/status");
     return status.status == kOk && status.body["repaired"] == true;
   };
-  CHECK(lab::WaitFor(kLimit, repaired));
+  CHECK(lab::WaitFor(kWaitTimeout, repaired));
 }
 
 TEST_CASE("A leader that was frozen serves nothing old when it is back") {
   ControlFleet test;
   const std::string old_leader = test.WaitForLeader();
   const std::size_t position = PositionOf(old_leader);
-  test.Accept("search-2");
-  WaitingReads reads(test.fleet->ControlAddresses()[position]);
+  test.ApplyAndRecord("search-2");
+  QueuedReads reads(test.fleet->ControlAddresses()[position]);
   test.fleet->Freeze(old_leader);
   reads.Send(PathOf("while-frozen-4"));
   for (int change = 0; change < 5; ++change) {
-    test.Accept(fmt::format("while-frozen-{}", change));
+    test.ApplyAndRecord(fmt::format("while-frozen-{}", change));
   }
   test.fleet->Thaw(old_leader);
   for (const int status : reads.Finish()) {
-    CHECK(IsHonest(status));
+    CHECK(IsCurrentOrUnavailable(status));
   }
   int answers = 0;
   for (int call = 0; call < 200; ++call) {
     const auto read =
         test.fleet->control().Get(position, PathOf("while-frozen-4"));
-    CHECK(IsHonest(read.status));
+    CHECK(IsCurrentOrUnavailable(read.status));
     answers += read.status == kOk ? 1 : 0;
   }
   CHECK(answers > 0);
@@ -208,15 +208,15 @@
   const std::string leader = test.WaitForLeader();
   REQUIRE(test.Query(kGateway).status == kOk);
   std::vector<std::string> others;
-  for (const char* machine : {"control-1", "control-2", "control-3"}) {
-    if (machine != leader) {
-      others.emplace_back(machine);
-      test.fleet->Freeze(machine);
+  for (const char* node : {"control-1", "control-2", "control-3"}) {
+    if (node != leader) {
+      others.emplace_back(node);
+      test.fleet->Freeze(node);
     }
   }
   // The gateway's lease runs out; until then it may answer.
-  REQUIRE(
-      lab::WaitFor(kLimit, [&] { return test.Query(kGateway).status != kOk; }));
+  REQUIRE(lab::WaitFor(kWaitTimeout,
+                       [&] { return test.Query(kGateway).status != kOk; }));
   const auto refused = test.Query(kGateway);
   CHECK(refused.status == 503);
   CHECK(nlohmann::json::parse(refused.body)["execution"] == "not-run");
@@ -228,12 +228,12 @@
   const auto apply = test.fleet->control().ApplyOnce(
       PositionOf(leader), {MakeService("lonely", 0)}, "id-lonely", seconds(10));
   CHECK(apply.status >= 503);
-  for (const std::string& machine : others) {
-    test.fleet->Thaw(machine);
+  for (const std::string& node : others) {
+    test.fleet->Thaw(node);
   }
-  test.Accept("lonely");
-  CHECK(
-      lab::WaitFor(kLimit, [&] { return test.Query(kGateway).status == kOk; }));
+  test.ApplyAndRecord("lonely");
+  CHECK(lab::WaitFor(kWaitTimeout,
+                     [&] { return test.Query(kGateway).status == kOk; }));
   test.CheckNothingLost();
 }
 
--- a/test/integration/control/members_test.cc
+++ b/test/integration/control/members_test.cc
@@ -50,9 +50,9 @@
   ControlGroup group(context, 3);
   REQUIRE(group.WaitForLeader(0) < 3);
   Apply(group, 0, "before");
-  const std::size_t newcomer = group.StartWaiting();
-  const auto body = nlohmann::json{{"node_id", newcomer + 1},
-                                   {"address", group.Address(newcomer)}}
+  const std::size_t joining = group.StartUnjoined();
+  const auto body = nlohmann::json{{"node_id", joining + 1},
+                                   {"address", group.Address(joining)}}
                         .dump();
   CHECK(group.Call(0, "POST", "/v1/members", body).status == kAccepted);
   // A lost answer's resend is no error.
@@ -60,11 +60,11 @@
   CHECK(WaitForStatus(group, 0, [](const nlohmann::json& status) {
     return status["voters"] == 4 && status["repaired"] == true;
   }));
-  CHECK(group.GetJson(newcomer, "/v1/resources/Service/before").is_object());
+  CHECK(group.GetJson(joining, "/v1/resources/Service/before").is_object());
 
-  const std::size_t leader = group.WaitForLeader(newcomer);
+  const std::size_t leader = group.WaitForLeader(joining);
   const auto removed =
-      group.Call(newcomer, "DELETE", fmt::format("/v1/members/{}", leader + 1));
+      group.Call(joining, "DELETE", fmt::format("/v1/members/{}", leader + 1));
   CHECK(removed.status == kAccepted);
   const std::size_t remaining = (leader + 1) % 4;
   CHECK(WaitForStatus(group, remaining, [leader](const nlohmann::json& status) {
@@ -86,18 +86,18 @@
   for (int service = 0; service < kServices; ++service) {
     Apply(group, 0, fmt::format("service-{}", service));
   }
-  const std::size_t newcomer = group.StartWaiting();
-  const auto body = nlohmann::json{{"node_id", newcomer + 1},
-                                   {"address", group.Address(newcomer)}}
+  const std::size_t joining = group.StartUnjoined();
+  const auto body = nlohmann::json{{"node_id", joining + 1},
+                                   {"address", group.Address(joining)}}
                         .dump();
   REQUIRE(group.Call(0, "POST", "/v1/members", body).status == kAccepted);
   CHECK(WaitForStatus(group, 0, [](const nlohmann::json& status) {
     return status["voters"] == 4 && status["repaired"] == true;
   }));
-  const auto all = group.GetJson(newcomer, "/v1/resources/Service?local=true");
+  const auto all = group.GetJson(joining, "/v1/resources/Service?local=true");
   CHECK(all["items"].size() == kServices);
   // What came before the snapshot is not known there: it did not come as a log.
-  CHECK(group.Call(newcomer, "GET", "/v1/watch?from=1&timeout_ms=0").status ==
+  CHECK(group.Call(joining, "GET", "/v1/watch?from=1&timeout_ms=0").status ==
         410);
 }
 
@@ -122,20 +122,20 @@
   asio::io_context context(1);
   ControlGroup group(context, 3);
   REQUIRE(group.WaitForLeader(0) < 3);
-  auto silent = group.MakeClient("silent", "zone-1");
+  auto crashed = group.MakeClient("silent", "zone-1");
   auto other = group.MakeClient("other", "zone-1");
-  silent->Start();
+  crashed->Start();
   other->Start();
-  const auto sees_both = [&other] {
+  const auto has_both_members = [&other] {
     return other->View()->members.size() == 2;
   };
-  REQUIRE(RunUntil(context, sees_both));
-  silent.reset();
+  REQUIRE(RunUntil(context, has_both_members));
+  crashed.reset();
   REQUIRE(RunUntil(context,
                    [&other] { return other->View()->members.size() == 1; }));
-  silent = group.MakeClient("silent", "zone-1");
-  silent->Start();
-  CHECK(RunUntil(context, sees_both));
+  crashed = group.MakeClient("silent", "zone-1");
+  crashed->Start();
+  CHECK(RunUntil(context, has_both_members));
 }
 
 TEST_CASE("A watch waits for changes, and says when it must start anew") {
@@ -168,8 +168,8 @@
       group.Call(0, "GET", "/v1/watch?from=2&timeout_ms=60000").body);
   CHECK(deleted["items"][0]["type"] == "delete");
   CHECK(deleted["items"][0]["resource"]["name"] == "second");
-  const auto quiet = group.Call(0, "GET", "/v1/watch?from=3&timeout_ms=0");
-  CHECK(nlohmann::json::parse(quiet.body)["items"].empty());
+  const auto unchanged = group.Call(0, "GET", "/v1/watch?from=3&timeout_ms=0");
+  CHECK(nlohmann::json::parse(unchanged.body)["items"].empty());
   CHECK(group.Call(0, "GET", "/v1/watch?from=99&timeout_ms=0").status == 410);
 }
 
--- a/test/support/control_group.cc
+++ b/test/support/control_group.cc
@@ -91,7 +91,7 @@
   Start(position, members_);
 }
 
-std::size_t ControlGroup::StartWaiting() {
+std::size_t ControlGroup::StartUnjoined() {
   const std::size_t position = servers_.size();
   members_.push_back(
       {position + 1, net::FormatEndpoint(FindFreeEndpoint(context_))});
--- a/test/support/control_group.h
+++ b/test/support/control_group.h
@@ -37,7 +37,7 @@
   void Restart(std::size_t position);
   // Starts one more server, which waits until the cluster adds it.
   // @return its position; its node id is one more.
-  std::size_t StartWaiting();
+  std::size_t StartUnjoined();
 
   std::string Address(std::size_t position) const;
   std::string Url(std::size_t position, const std::string& path) const;
--- a/test/unit/control/peer_network_test.cc
+++ b/test/unit/control/peer_network_test.cc
@@ -53,48 +53,49 @@
   // The other machine: what this one opens to it swallows everything, as a path
   // does that lost its way without a sign.
   std::vector<std::shared_ptr<net::FrameConnection>> accepted;
-  int swallowed = 0;
+  int unanswered_frames = 0;
   const net::FrameListener listener(
       context, tcp::endpoint(asio::ip::address_v4::loopback(), 0),
       [&](auto connection) {
         accepted.push_back(connection);
-        connection->Start([&](net::FrameBytes) { ++swallowed; }, [] {});
+        connection->Start([&](net::FrameBytes) { ++unanswered_frames; }, [] {});
       });
   const auto peers = std::make_shared<PeerNetwork>(
       context, PeerNetwork::Identity{"test", 1, {}}, /*seed=*/1,
       [](raft::NodeId, const protocol::ControlFrameT&) {});
   peers->SetPeers({{2, net::FormatEndpoint(listener.local_endpoint())}});
   peers->Tick(ReadMonotonicClock());
-  REQUIRE(test::RunUntil(context, [&] { return swallowed == 1; }));  // hello
+  REQUIRE(test::RunUntil(context,
+                         [&] { return unanswered_frames == 1; }));  // hello
 
   // Then the other machine opens one to this machine.
   std::shared_ptr<net::FrameConnection> incoming;
-  const net::FrameListener own(
+  const net::FrameListener local_listener(
       context, tcp::endpoint(asio::ip::address_v4::loopback(), 0),
       [&](auto connection) {
         incoming = connection;
         connection->Start(
             [&](net::FrameBytes bytes) { peers->OnFrame(2, bytes, incoming); },
             [] {});
-        peers->Adopt(2, connection);
+        peers->AddIncomingConnection(2, connection);
       });
-  std::shared_ptr<net::FrameConnection> others;
+  std::shared_ptr<net::FrameConnection> remote;
   int answers = 0;
   net::FrameConnection::Connect(
-      context, own.local_endpoint(), seconds(10),
+      context, local_listener.local_endpoint(), seconds(10),
       [&](Result<std::shared_ptr<net::FrameConnection>> result) {
         REQUIRE(result);
-        others = *result;
-        others->Start([&](net::FrameBytes) { ++answers; }, [] {});
+        remote = *result;
+        remote->Start([&](net::FrameBytes) { ++answers; }, [] {});
       });
-  REQUIRE(test::RunUntil(context, [&] { return others && incoming; }));
+  REQUIRE(test::RunUntil(context, [&] { return remote && incoming; }));
   REQUIRE(peers->Send(2, protocol::ConsensusMessagesT{}));
   CHECK(test::RunUntil(context, [&] { return answers == 1; }));
-  session::SendMessage(*others, protocol::ConsensusMessagesT{});
+  session::SendMessage(*remote, protocol::ConsensusMessagesT{});
   test::RunReady(context);
   REQUIRE(peers->Send(2, protocol::ConsensusMessagesT{}));
   CHECK(test::RunUntil(context, [&] { return answers == 2; }));
-  CHECK(swallowed == 1);
+  CHECK(unanswered_frames == 1);
   peers->Stop();
 }
 
--- a/test/unit/control/snapshot_parts_test.cc
+++ b/test/unit/control/snapshot_parts_test.cc
@@ -33,16 +33,16 @@
         std::string("abcdefghij")}) {
     CAPTURE(data);
     SnapshotAssembler assembler;
-    std::optional<raft::Message> whole;
+    std::optional<raft::Message> complete;
     for (const auto& part : Split(MakeMessage(9, data))) {
-      CHECK_FALSE(whole.has_value());
-      whole = assembler.Add(1, part);
+      CHECK_FALSE(complete.has_value());
+      complete = assembler.Add(1, part);
     }
-    REQUIRE(whole.has_value());
-    CHECK(whole->snapshot->data == data);
-    CHECK(whole->snapshot->index == 9);
-    CHECK(whole->snapshot->configuration.voters.size() == 1);
-    CHECK(whole->term == 3);
+    REQUIRE(complete.has_value());
+    CHECK(complete->snapshot->data == data);
+    CHECK(complete->snapshot->index == 9);
+    CHECK(complete->snapshot->configuration.voters.size() == 1);
+    CHECK(complete->term == 3);
   }
 }
 
@@ -69,9 +69,9 @@
   // A new start gets through after each.
   assembler.Add(1, parts[0]);
   assembler.Add(1, parts[1]);
-  const auto whole = assembler.Add(1, parts[2]);
-  REQUIRE(whole.has_value());
-  CHECK(whole->snapshot->data == "ABCDEFGHIJ");
+  const auto complete = assembler.Add(1, parts[2]);
+  REQUIRE(complete.has_value());
+  CHECK(complete->snapshot->data == "ABCDEFGHIJ");
 }
 
 }  // namespace
