--- a/source/common/control/command_pipeline.cc
+++ b/source/common/control/command_pipeline.cc
@@ -52,9 +52,11 @@
   std::size_t next = 0;
   for (const Batch& batch : proposed.batches) {
     if (proposed.term != term) {
-      // Another leader's entry took this place; what was proposed is gone.
+      // Another leader's entry has this index, so the proposed command will
+      // never be committed.
       batch.callback(
-          MakeError(ErrorCode::kNotLeader, "", "leadership was lost"));
+          MakeError(ErrorCode::kNotLeader, "",
+                    "leadership was lost before the change was committed"));
       continue;
     }
     OperationResults batch_results;
@@ -74,8 +76,8 @@
   for (const auto& [index, proposed] : std::exchange(proposed_, {})) {
     for (const Batch& batch : proposed.batches) {
       batch.callback(MakeError(ErrorCode::kUnavailable, "",
-                               "leadership was lost before the outcome was "
-                               "known"));
+                               "leadership was lost while the change was being "
+                               "committed; the outcome is unknown"));
     }
   }
 }
--- a/source/common/control/command_pipeline.h
+++ b/source/common/control/command_pipeline.h
@@ -1,6 +1,6 @@
-// The leader's way into the log: operations that arrive in one turn of the
-// event loop become one command, and each gets its result when that command was
-// applied. Pure but for the callbacks.
+// Batches the leader's operations into log commands: operations that arrive in
+// one turn of the event loop become one command, and each callback gets its
+// results when the command is applied. No I/O apart from the callbacks.
 #pragma once
 
 #include <cstddef>
@@ -22,26 +22,31 @@
 using OperationResults =
     std::vector<std::unique_ptr<protocol::OperationResultT>>;
 
+// Owned by the leader role of a control node.
 class CommandPipeline {
  public:
-  // Runs once: one result for each operation, or kNotLeader (nothing was
-  // proposed) or kUnavailable (the outcome is unknown).
+  // Runs once, with one result for each operation, or with an error: kNotLeader
+  // when the operations will not be applied, kUnavailable when their outcome is
+  // unknown, or the error of `Propose`.
   using Callback = std::function<void(Result<OperationResults>)>;
   using Propose =
       std::function<Result<raft::Fsm::Proposal>(std::string command)>;
 
+  // Queues operations for the next Flush().
   void Add(Operations operations, Callback callback);
   bool HasQueued() const { return !queued_.empty(); }
 
-  // Proposes what was added, in commands of bounded size.
-  // @param now stamped on the commands: the state's time.
+  // Proposes the queued operations, in commands of bounded size.
+  // @param now wall time of the commands; becomes the state's time.
   void Flush(WallTime now, const Propose& propose);
 
-  // The entry at `index` and `term` was applied with these results.
+  // Runs the callbacks of the command at `index`, which was applied in `term`
+  // with these results.
   void OnApplied(raft::Index index, raft::Term term,
                  std::vector<protocol::OperationResultT> results);
 
-  // This node no longer leads: what is under way may or may not be committed.
+  // Fails every operation because this node no longer leads. Proposed commands
+  // may still be committed.
   void FailAll();
 
  private:
--- a/source/common/control/consensus_codec.h
+++ b/source/common/control/consensus_codec.h
@@ -1,4 +1,5 @@
-// Consensus messages as frames of control.fbs. Pure.
+// Converts consensus messages to and from the records of control.fbs. Pure
+// functions.
 #pragma once
 
 #include <memory>
@@ -9,10 +10,11 @@
 
 namespace juniperway::control {
 
+// Returns the record for `message`, including its entries and snapshot.
 std::unique_ptr<protocol::ConsensusMessageT> EncodeMessage(
     const raft::Message& message);
 
-// Nothing when `record` holds a number that is no kind of message or entry.
+// @return std::nullopt when `record` holds an unknown kind of message or entry.
 std::optional<raft::Message> DecodeMessage(
     const protocol::ConsensusMessageT& record);
 
--- a/source/common/control/control_metrics.h
+++ b/source/common/control/control_metrics.h
@@ -1,4 +1,4 @@
-// What a control machine tells of itself, as Prometheus metrics.
+// The Prometheus metrics of a control node.
 // Page: docs/operations/metrics.md.
 #pragma once
 
@@ -16,17 +16,20 @@
 
 namespace juniperway::control {
 
+// Owned by ControlNode; the registry owns the metrics and must outlive the
+// object.
 class ControlMetrics {
  public:
   explicit ControlMetrics(prometheus::Registry& registry);
 
-  // @param list_age since the discovery list was read whole by this machine;
-  // negative: never.
+  // Sets the gauges.
+  // @param list_age time since this node last read every page of the discovery
+  // list; negative: never.
   void Update(const raft::Status& status, std::uint64_t revision,
               std::uint64_t table_version, std::size_t sessions,
               Duration list_age);
 
-  // Entries of one reading of the discovery list that cannot be used.
+  // Counts the faulty entries of one reading of the discovery list.
   void OnDiscoveryFaults(const EntryFaults& faults);
 
  private:
--- a/source/common/control/control_node.cc
+++ b/source/common/control/control_node.cc
@@ -17,10 +17,10 @@
 namespace {
 
 constexpr Duration kTickInterval = milliseconds(50);
-// Confirmations that come within this time move the watermarks together: each
-// move goes over every lease.
+// Confirmations that arrive within this time advance the watermarks together,
+// because each advance visits every lease.
 constexpr Duration kAdvanceDelay = milliseconds(5);
-// How long a machine that stops waits for calls under way once another leads.
+// Longest wait for calls in flight after another member took over leadership.
 constexpr Duration kStopDrainTimeout = milliseconds(500);
 constexpr Duration kMetricsInterval = seconds(1);
 constexpr Duration kListNeverRead = seconds(-1);
@@ -169,7 +169,7 @@
 Result<void> ControlNode::AddMember(const raft::Member& member) {
   const auto members = raft::AllMembers(driver_->GetStatus().configuration);
   if (std::ranges::find(members, member) != members.end()) {
-    return {};  // A resend.
+    return {};  // The same request was sent before.
   }
   return driver_->AddLearner(member).map(
       [](const raft::Fsm::Proposal& /*proposal*/) {});
@@ -180,12 +180,13 @@
     return driver_->RemoveMember(id).map(
         [](const raft::Fsm::Proposal& /*proposal*/) {});
   }
-  // The call is tried again, and reaches the next leader then.
+  // Status 503 makes the forwarding node send the call again, then to the new
+  // leader.
   if (auto transferred = TransferLeadership(); !transferred) {
     return transferred;
   }
   return MakeError(ErrorCode::kUnavailable, "id",
-                   "leads now and hands leadership over first");
+                   "is the leader; leadership is transferred before removal");
 }
 
 nlohmann::json ControlNode::DescribeNode() const {
@@ -301,7 +302,7 @@
   stop_deadline_ = ReadMonotonicClock() + timeout;
   on_stopped_ = std::move(done);
   api_server_->StopAccepting();
-  // Tick goes on with it.
+  // Tick() calls ContinueStop() until the shutdown is complete.
 }
 
 Result<void> ControlNode::TransferLeadership() {
@@ -318,7 +319,7 @@
   }
   if (successor == nullptr) {
     return MakeError(ErrorCode::kUnavailable, "",
-                     "no other voter could take over now");
+                     "no other voter is active and caught up");
   }
   return driver_->TransferLeadership(successor->member.id);
 }
@@ -327,7 +328,7 @@
   const bool leads = known_status_.role == raft::Role::kLeader;
   const bool is_only_voter = known_status_.configuration.voters.size() <= 1;
   if (leads && !is_only_voter && now < stop_deadline_) {
-    static_cast<void>(TransferLeadership());  // Tried again each tick.
+    static_cast<void>(TransferLeadership());  // Each tick retries.
     return;
   }
   stop_deadline_ = std::min(stop_deadline_, now + kStopDrainTimeout);
--- a/source/common/control/control_node.h
+++ b/source/common/control/control_node.h
@@ -1,6 +1,7 @@
-// The parts of one control machine and how they talk to each other. The set-up
-// is in control_node_setup.cc, what happens at run time in control_node.cc.
-// Everything runs on the event loop's thread.
+// ControlNode creates the components of one control node and passes calls
+// between them. control_node_setup.cc creates the components, control_node.cc
+// runs the node, control_node_peers.cc exchanges frames with other control
+// nodes. All code runs on the event loop's thread.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -31,27 +32,35 @@
 
 namespace juniperway::control {
 
+// One member of the control group: consensus, sessions of daemons and the
+// resource API. ControlServer owns the object; the object owns its components
+// and must not outlive `context`.
 class ControlNode {
  public:
-  // Throws std::exception on set-up faults.
+  // Loads the store and opens both listeners. Throws std::exception when an
+  // address cannot be bound or the store cannot be read.
   ControlNode(asio::io_context& context, const ControlServerOptions& options,
               std::unique_ptr<storage::LogStore> store);
   ~ControlNode();
   ControlNode(const ControlNode&) = delete;
   ControlNode& operator=(const ControlNode&) = delete;
 
+  // Starts consensus, the pollers and the periodic tick.
   void Start();
   // See ControlServer::Stop.
   void Stop(Duration timeout, std::function<void()> done);
-  // Nothing runs after this.
+  // Closes every connection and stops every component; no handler runs after
+  // this call.
   void Close();
 
+  // Where the resource API listens.
   asio::ip::tcp::endpoint http_endpoint() const {
     return api_server_->local_endpoint();
   }
-  // Replaces the seeds of the options (a reload of the settings).
+  // Replaces ControlServerOptions::seeds after the settings were reloaded.
   void SetSeeds(const std::vector<std::string>& seeds);
 
+  // Where other control nodes and daemons connect.
   asio::ip::tcp::endpoint peer_endpoint() const {
     return listener_->local_endpoint();
   }
@@ -79,10 +88,11 @@
   void LogRoleChange(const raft::Status& status);
   void UpdateMembers(const raft::Status& status);
   void OnStateChanged();
-  // This machine only while it leads; kNoNode when nobody is known to.
+  // The leader's id. Returns this node's id only while this node leads and can
+  // write its store, and kNoNode when no leader is known.
   raft::NodeId KnownLeader() const;
 
-  // --- Between control machines
+  // --- Messages between control nodes
   void OnPeerFrame(raft::NodeId from, const protocol::ControlFrameT& frame);
   void OnForwardedOperations(raft::NodeId from,
                              const protocol::ForwardOperationsT& forwarded);
@@ -91,8 +101,9 @@
   void OnForwardedHeartbeats(raft::NodeId from,
                              const protocol::ForwardHeartbeatsT& forwarded);
   void OnProgressUpdate(const protocol::ProgressUpdateT& progress);
-  // To every other control machine.
+  // Sends `observations` to every other member.
   void SendObservations(const observation::BackendObservations& observations);
+  // @return false when no leader is known or no connection to it is open.
   bool ForwardHeartbeats(Heartbeats heartbeats);
   void ForwardGoodbye(const DaemonKey& daemon);
   void AnnounceProgress(
@@ -119,7 +130,8 @@
   ControlServerOptions options_;
   ControlMetrics metrics_;
   MonotonicTime next_metrics_update_ = MonotonicTime::min();
-  // When this machine last read the discovery list whole.
+  // When this node last read every page of the discovery list;
+  // MonotonicTime::min(): never.
   MonotonicTime discovery_list_read_at_ = MonotonicTime::min();
   std::uint64_t seed_;
   asio::steady_timer tick_timer_;
@@ -127,14 +139,15 @@
   bool flush_scheduled_ = false;
   bool advance_scheduled_ = false;
   bool closed_ = false;
-  // A planned stop is under way when this is set.
+  // Set during a graceful shutdown; called when the shutdown is complete.
   std::function<void()> on_stopped_;
   MonotonicTime stop_deadline_;
 
   ControlState state_;
   raft::Status known_status_;
   SnapshotAssembler snapshot_assembler_;
-  // Members last seen without their data.
+  // Members that were reported as having lost acknowledged entries. Each member
+  // is logged once.
   std::set<raft::NodeId> members_with_lost_data_;
 
   std::shared_ptr<RaftDriver> driver_;
@@ -149,7 +162,8 @@
   std::unique_ptr<PlatformPoller> poller_;
   std::unique_ptr<DiscoveryPoller> discovery_;
   std::unique_ptr<JoinClient> join_client_;
-  // Handlers that outlive this object find it gone.
+  // Each handler keeps a copy of the pointer, and returns without effect when
+  // the value is false because the object was closed.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/source/common/control/control_node_peers.cc
+++ b/source/common/control/control_node_peers.cc
@@ -1,4 +1,5 @@
-// What control machines say to each other; see control_node.h.
+// Messages between control nodes: consensus, forwarded calls and heartbeats,
+// watermarks and observations. See control_node.h.
 #include <utility>
 
 #include "common/base/compression.h"
@@ -25,8 +26,9 @@
 }
 
 void ControlNode::SendSnapshot(const raft::Message& message) {
-  // Consensus sends it again when no answer comes in time; while parts of the
-  // last one are still going out, that is only slowness.
+  // Consensus sends the snapshot again when no answer arrives in time. While
+  // parts of the previous transfer are still queued, the transfer is only slow
+  // and needs no second copy.
   if (peers_->QueuedBytes(message.to) > options_.snapshot_part_bytes) {
     return;
   }
@@ -38,6 +40,8 @@
 
 void ControlNode::OnSnapshotPart(raft::NodeId from,
                                  const protocol::SnapshotPartT& part) {
+  // An empty answer, so that the sender does not take this node for
+  // unresponsive during a long transfer.
   peers_->Send(from, protocol::ConsensusMessagesT{});
   const auto complete = snapshot_assembler_.Add(from, part);
   if (complete && complete->from == from) {
@@ -65,7 +69,8 @@
     OnProgressUpdate(*progress);
   } else if (const auto* observed = message.AsBackendObservations()) {
     observations_->OnDigest(session::DecodeObservations(*observed));
-    // Shows that the path is alive: followers say little else to each other.
+    // An empty answer shows the sender that the connection works: followers
+    // exchange few other messages.
     peers_->SendOneWay(from, protocol::ConsensusMessagesT{});
   } else if (const auto* operations = message.AsForwardOperations()) {
     OnForwardedOperations(from, *operations);
@@ -109,7 +114,7 @@
   call.change_id = forwarded.change_id;
   auto body = Decompress(forwarded.body);
   if (!body) {
-    return;  // As lost: it is sent again.
+    return;  // Handled like a lost frame: the sender sends the call again.
   }
   call.body = std::move(*body);
   for (const auto& parameter : forwarded.parameters) {
@@ -150,7 +155,8 @@
 }
 
 void ControlNode::OnProgressUpdate(const protocol::ProgressUpdateT& progress) {
-  // Watermarks only grow and stay true, whoever announced them.
+  // Watermarks never decrease and remain valid after a leader change, so the
+  // term of the announcing leader is not checked.
   std::map<std::string, resources::Revision> zones;
   for (const auto& zone : progress.zones) {
     zones[zone->zone] = zone->released_revision;
--- a/source/common/control/control_node_setup.cc
+++ b/source/common/control/control_node_setup.cc
@@ -1,3 +1,4 @@
+// Creates and connects the components of a control node; see control_node.h.
 #include <glog/logging.h>
 
 #include <algorithm>
@@ -19,7 +20,8 @@
          state.snapshot.configuration == raft::Configuration{};
 }
 
-// What the store holds; in a blank one the first configuration is stored.
+// Loads the store. Into an empty store, first writes a snapshot with
+// `initial_members` as voters, when there are any.
 raft::InitialState LoadOrBootstrapStore(const ControlServerOptions& options,
                                         storage::LogStore& store) {
   auto state = store.Load();
--- a/source/common/control/control_server.h
+++ b/source/common/control/control_server.h
@@ -1,6 +1,6 @@
-// One control machine: consensus node, session server for daemons and resource
-// API in one event loop. The decisions lie in raft/fsm.h, control_state.h and
-// lease_table.h; this is the I/O shell that ties them together.
+// One control node: consensus, session server for daemons and resource API in
+// one event loop. raft/fsm.h, control_state.h and lease_table.h hold the
+// decision logic; this class does the I/O.
 #pragma once
 
 #include <prometheus/registry.h>
@@ -24,100 +24,122 @@
 
 namespace juniperway::control {
 
-// Where a daemon keeps the consensus store, in its data folder.
+// Folder of the consensus store, inside the daemon's data folder.
 inline constexpr const char* kControlFolderName = "control";
 
+// Options of one control node. The caller fills them once, before the server
+// starts; only the seeds can be replaced later (ControlServer::SetSeeds).
 struct ControlServerOptions {
-  // Identity of the fleet; peers and daemons of another one are refused.
+  // Identity of the fleet; peers and daemons of another fleet are refused.
   std::string cluster;
   raft::NodeId node_id = raft::kNoNode;
-  // Where this machine stands; daemons prefer the nearest one.
+  // Zone and region of this node; daemons prefer the nearest control node.
   Place place;
-  // Resource API. Port 0: chosen by the kernel (see http_endpoint()).
+  // Address of the resource API. Port 0: the kernel chooses one, see
+  // ControlServer::http_endpoint().
   asio::ip::tcp::endpoint http_listen;
-  // Consensus and daemon sessions. Port 0: chosen by the kernel.
+  // Address for other control nodes and for daemon sessions. Port 0: the kernel
+  // chooses one, see ControlServer::peer_endpoint().
   asio::ip::tcp::endpoint peer_listen;
-  // Voters of a cluster that starts for the first time, this node among them;
-  // must be the same on each. Empty: this node waits until the cluster adds it.
-  // Ignored when the store holds a state.
+  // Voters of a cluster that starts for the first time, including this node;
+  // every voter must get the same list. Empty: this node waits until the
+  // cluster adds it. Ignored when the store already holds state.
   std::vector<raft::Member> initial_members;
-  // Content of the token file, without blanks at its ends. Empty: the API is
-  // served on the loopback interface only (port of `http_listen`).
+  // Content of the token file without surrounding white space. Empty: the API
+  // listens on the loopback interface only, at the port of `http_listen`,
+  // unless `open_api` is set.
   std::string bearer_token;
-  // Platform list, "http://10.0.0.9:9000/v1/machines"; empty: none.
+  // URL of the platform list, such as "http://10.0.0.9:9000/v1/machines".
+  // Empty: the node polls no platform list.
   std::string platform_url;
   Duration platform_poll_interval = seconds(2);
-  // Discovery list of back ends for HTTP forwarding; empty: none.
+  // URL of the discovery list of backends for HTTP forwarding. Empty: the node
+  // polls no discovery list.
   std::string discovery_url;
   Duration discovery_interval = seconds(1);
   double discovery_calls_per_second = 50;
-  // How far the fleet may go beyond tenants' limits.
+  // How far the fleet may exceed a tenant's rate limit.
   quota::RateTolerance tenant_tolerance;
-  // What a version that turns out bad in its roll-out may be sent.
+  // Bounds the requests that a faulty version receives during its rollout.
   rollout::ExposureLimit rollout_exposure;
-  // Serves the resource API on http_listen although there is no token.
+  // Serves the resource API on `http_listen` without authentication when
+  // `bearer_token` is empty.
   bool open_api = false;
-  // The group replaces lost control machines by itself: resource API addresses
-  // of machines to ask for membership ("ip:port"), the voters to have, and what
-  // the others dial to reach this machine. No seeds: operators do it.
+  // With seeds, the group replaces lost members by itself. `seeds` are resource
+  // API addresses ("ip:port") that this node sends its membership requests to,
+  // `wanted_voters` is the number of voters that the group aims for, and
+  // `peer_advertise` is the address at which other control nodes connect to
+  // this node. Without seeds, operators add and remove members.
   std::vector<std::string> seeds;
   std::size_t wanted_voters = 3;
   std::string peer_advertise;
-  // Scratch folder for backup files, and where they are made.
+  // The daemon's data folder; backup files are written here temporarily.
   std::filesystem::path data_folder;
 
   // Consensus timing; see raft::Options.
   Duration raft_heartbeat_interval = milliseconds(100);
   Duration raft_election_timeout = milliseconds(1000);
   double maximum_clock_drift = 0.01;
-  // How long a daemon may act on a lease, counted from when it sent the
-  // heartbeat.
+  // How long a daemon may act on a lease, counted from the time at which the
+  // daemon sent the heartbeat.
   Duration lease_duration = seconds(4);
-  // Changes of the replicated state wait this long for more, before they are
-  // streamed to the daemons in one update.
+  // Delay between a change of the replicated state and the update that carries
+  // it to the daemons; changes within this time travel in one update.
   Duration update_delay = milliseconds(10);
-  // Least time between two updates to one daemon: changes in quick succession
-  // travel together.
+  // Minimum time between two updates to one daemon; changes in quick succession
+  // travel in one update.
   Duration update_interval = milliseconds(150);
-  // How long a call waits for a leader and its answer before it gets 503.
+  // How long an API call waits for the leader's answer. After that the API
+  // answers 503 when the call was never sent to a leader, and 504 when its
+  // outcome is unknown.
   Duration call_timeout = seconds(5);
-  // A snapshot is taken when the log since the last one has grown past this.
+  // A snapshot is taken when the log since the previous one exceeds either of
+  // these; see IsCompactionDue().
   std::size_t compaction_bytes = 16U << 20;
   std::size_t compaction_entries = 20000;
-  // Entries kept behind a snapshot for followers that are a little behind.
+  // Entries that remain in the log before a snapshot's index, so that slightly
+  // delayed followers need no snapshot.
   raft::Index kept_entries = 2000;
-  // A snapshot for another machine goes out in frames of about this size.
+  // Approximate size in bytes of the frames that carry a snapshot to another
+  // control node.
   std::size_t snapshot_part_bytes = 4U << 20;
-  // Seed of the election jitter; 0: from the system's random device.
+  // Seed of the random delays, such as election jitter; 0: the system's random
+  // device provides the seed.
   std::uint64_t seed = 0;
-  // Where this machine's metrics go; not null.
+  // Registry for this node's metrics; must not be null.
   std::shared_ptr<prometheus::Registry> registry =
       std::make_shared<prometheus::Registry>();
-  // Runs when the store failed and the node has stopped taking part. Default:
-  // the process ends with the error in its log.
+  // Called when the store failed and the node has left consensus. Default: the
+  // process logs the error and exits.
   std::function<void(const Error&)> on_store_failure;
 };
 
+// Runs one control node. The daemon owns the server and the io_context, and
+// runs the context; the server owns the store.
 class ControlServer {
  public:
-  // Loads the store, opens both listeners and starts to take part. Every
-  // handler runs on `context`'s thread; the caller runs the context.
-  // Throws std::exception on set-up faults (address in use, corrupt store).
+  // Loads the store, opens both listeners and joins consensus. Every handler
+  // runs on `context`'s thread.
+  // Throws std::exception when an address is in use or the store is corrupt.
   ControlServer(asio::io_context& context, const ControlServerOptions& options,
                 std::unique_ptr<storage::LogStore> store);
-  // Closes everything; must run on the context's thread or after it stopped.
+  // Closes all connections. Must run on the context's thread, or after the
+  // context stopped.
   ~ControlServer();
   ControlServer(const ControlServer&) = delete;
   ControlServer& operator=(const ControlServer&) = delete;
 
+  // Where the resource API listens.
   asio::ip::tcp::endpoint http_endpoint() const;
+  // Where other control nodes and daemons connect.
   asio::ip::tcp::endpoint peer_endpoint() const;
 
   // Replaces the options' seeds.
   void SetSeeds(const std::vector<std::string>& seeds);
 
-  // Planned stop: hands leadership over where this node leads, then closes.
-  // `done` runs once, at the latest after `timeout`.
+  // Graceful shutdown: transfers leadership if this node leads, waits for calls
+  // in flight, and closes. `done` runs once, at the latest in the first tick
+  // after `timeout`.
   void Stop(Duration timeout, std::function<void()> done);
 
  private:
--- a/source/common/control/events.h
+++ b/source/common/control/events.h
@@ -1,4 +1,5 @@
-// Log events of the control machines.
+// Log events of the control nodes. Numbers and names are stable: operators'
+// tools match them.
 #pragma once
 
 #include "common/logging/event_log.h"
--- a/source/common/control/join_client.cc
+++ b/source/common/control/join_client.cc
@@ -10,8 +10,8 @@
 
 constexpr Duration kRequestInterval = milliseconds(300);
 constexpr Duration kRequestTimeout = milliseconds(900);
-// A member that hears no leader for longer than an election takes may have
-// been replaced meanwhile.
+// A member that knows no leader for longer than an election takes may have been
+// replaced meanwhile, and requests membership again.
 constexpr Duration kLeaderlessTimeout = seconds(3);
 
 }  // namespace
--- a/source/common/control/join_client.h
+++ b/source/common/control/join_client.h
@@ -1,7 +1,8 @@
-// Asks the group to take this control machine in, where the group looks after
-// itself: a machine that is new, lost its data, or was replaced while it was
-// cut off. It goes through the resource API of the machines it was told of,
-// one after the other, until it is a member that hears a leader.
+// Requests membership in the control group for this node, when the group
+// replaces lost members by itself. The node may be new, may have lost its data,
+// or may have been replaced while it was partitioned. The client sends POST
+// /v1/members to the seeds in turn until the node is a member that knows a
+// leader.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -15,20 +16,22 @@
 
 namespace juniperway::control {
 
+// Owned by ControlNode, which reports the node's membership through Tick().
 class JoinClient {
  public:
-  // @param self as the others should know it.
+  // @param self id and address under which this node joins.
   JoinClient(asio::io_context& context, raft::Member self);
   ~JoinClient();
   JoinClient(const JoinClient&) = delete;
   JoinClient& operator=(const JoinClient&) = delete;
 
-  // Resource API addresses, "ip:port"; replaces the earlier ones.
+  // Replaces the seeds: resource API addresses, "ip:port".
   void SetSeeds(std::vector<std::string> seeds);
 
-  // To be called a few times a second.
+  // Sends a request when one is due. The caller calls this several times a
+  // second.
   // @param is_member this node is in the group's configuration.
-  // @param hears_leader a leader is known (or is this node).
+  // @param knows_leader a leader is known, or this node leads.
   void Tick(MonotonicTime now, bool is_member, bool knows_leader);
 
  private:
@@ -38,7 +41,8 @@
   net::HttpClient client_;
   std::vector<std::string> seeds_;
   std::size_t next_seed_ = 0;
-  // Since when it is a member and hears a leader no more.
+  // When this node was last a member that knows a leader; at first, when the
+  // client was created.
   MonotonicTime last_leader_seen_;
   MonotonicTime next_request_ = MonotonicTime::min();
   bool request_in_flight_ = false;
--- a/source/common/control/leader_client.cc
+++ b/source/common/control/leader_client.cc
@@ -10,7 +10,7 @@
 namespace juniperway::control {
 namespace {
 
-// A forwarded call without an answer for this long is sent again.
+// A forwarded call without an answer is sent again after this time.
 constexpr Duration kResendInterval = seconds(1);
 constexpr int kStatusUnavailable = 503;
 constexpr int kStatusDeadlineExceeded = 504;
@@ -26,8 +26,8 @@
                         "no answer from the leader in time; the outcome is "
                         "unknown, send the change again with its id"}
                 : Error{ErrorCode::kUnavailable, "",
-                        "no leader: the control machines have no quorum, or "
-                        "this one cannot reach it"};
+                        "no leader: the control group has no quorum, or this "
+                        "node cannot reach the leader"};
   net::HttpResponse response = net::ErrorResponse(
       ever_sent ? kStatusDeadlineExceeded : kStatusUnavailable, error,
       ever_sent ? "may-have-run" : "not-run");
@@ -88,7 +88,8 @@
 
 void LeaderClient::RunLocally(std::uint64_t id, Pending& pending) {
   if (auto* call = std::get_if<PendingCall>(&pending.content)) {
-    // A copy: the answer may come at once and end the entry.
+    // Copied because run_call may answer before it returns, which erases the
+    // entry.
     const ApiCall copy = call->call;
     ports_.run_call(copy, [this, id](net::HttpResponse response) {
       FinishCall(id, std::move(response));
@@ -157,7 +158,7 @@
     return;
   }
   if (!result && IsRetryable(result.error())) {
-    pending->second.sent_to = raft::kNoNode;  // the next Tick sends it
+    pending->second.sent_to = raft::kNoNode;  // Tick() sends the call.
     return;
   }
   const auto callback =
@@ -173,7 +174,7 @@
     return;
   }
   if (response.status == kStatusUnavailable) {
-    pending->second.sent_to = raft::kNoNode;  // the next Tick sends it
+    pending->second.sent_to = raft::kNoNode;  // Tick() sends the call.
     return;
   }
   const ApiCallback callback =
--- a/source/common/control/leader_client.h
+++ b/source/common/control/leader_client.h
@@ -1,8 +1,8 @@
-// Brings calls to the leader, wherever it is: runs them here when this node
-// leads, else sends them over the peer connection. A call without an answer is
-// sent again when the leader changes or the connection breaks, until its
-// deadline; every call is idempotent (change ids, claim attempts,
-// incarnations).
+// Routes calls to the leader: runs a call locally when this node leads, and
+// otherwise sends it over the peer connection. Until its deadline, a call
+// without an answer is sent again when the leader changes and at a fixed
+// interval. Every call is idempotent through its change id, claim attempt or
+// incarnation.
 #pragma once
 
 #include <cstdint>
@@ -18,43 +18,50 @@
 
 namespace juniperway::control {
 
+// Owned by ControlNode. Holds each call until its callback has run.
 class LeaderClient {
  public:
   using OperationsCallback = CommandPipeline::Callback;
 
   struct Ports {
-    // The leader, or kNoNode; this node's id only while it leads.
+    // Returns the leader's id, or kNoNode when none is known. Returns this
+    // node's id only while this node leads.
     std::function<raft::NodeId()> leader;
-    // Run here. The callback gets kNotLeader or kUnavailable when it must be
-    // tried again.
+    // Run a call on this node. The callback gets kNotLeader or kUnavailable, or
+    // status 503 for an API call, when the call must be sent again.
     std::function<void(Operations, OperationsCallback)> run_operations;
     std::function<void(const ApiCall&, ApiCallback)> run_call;
-    // @return false when no connection is up.
+    // Send a call to another node. @return false when no connection is open.
     std::function<bool(raft::NodeId, protocol::ForwardOperationsT)>
         send_operations;
     std::function<bool(raft::NodeId, protocol::ForwardCallT)> send_call;
   };
 
+  // @param self the id of this node.
   LeaderClient(raft::NodeId self, Ports ports);
 
-  // The callback runs once: with the leader's answer, or at `deadline` with
-  // kUnavailable (never sent) or kDeadlineExceeded (the outcome is unknown).
+  // Runs operations on the leader. The callback runs once: with the leader's
+  // answer, or at `deadline` with kUnavailable (the operations were never sent)
+  // or kDeadlineExceeded (their outcome is unknown).
   void Submit(Operations operations, MonotonicTime deadline,
               OperationsCallback callback);
-  // Status 503 or 504 stands for the two errors.
+  // Runs an API call on the leader; status 503 and 504 stand for the two errors
+  // of Submit().
   void Call(ApiCall call, MonotonicTime deadline, ApiCallback callback);
 
+  // Handle the leader's answer to a forwarded call.
   void OnReply(const protocol::ForwardOperationsReplyT& reply);
   void OnReply(const protocol::ForwardCallReplyT& reply);
 
-  // Sends what waits and fails what is late; to be called a few times a second
-  // and when the leader changed.
+  // Sends pending calls to the leader and fails calls whose deadline has
+  // passed. The caller calls this several times a second and when the leader
+  // has changed.
   void Tick(MonotonicTime now);
 
-  // Answers everything with kUnavailable.
+  // Fails every pending call at once, with the errors of Submit() and Call().
   void Stop();
 
-  // Nothing waits for an answer.
+  // Whether no call is pending.
   bool idle() const { return pending_.empty(); }
 
  private:
@@ -69,7 +76,7 @@
   struct Pending {
     std::variant<PendingOperations, PendingCall> content;
     MonotonicTime deadline;
-    // Where it is under way; kNoNode: it waits.
+    // The node that runs the call; kNoNode: the call waits to be sent.
     raft::NodeId sent_to = raft::kNoNode;
     MonotonicTime sent_at;
     bool ever_sent = false;
--- a/source/common/control/peer_listener.cc
+++ b/source/common/control/peer_listener.cc
@@ -10,7 +10,7 @@
 namespace juniperway::control {
 namespace {
 
-// A connection must say what it is within this time.
+// Longest wait for the hello frame of a new connection.
 constexpr Duration kHelloTimeout = seconds(5);
 
 }  // namespace
--- a/source/common/control/peer_listener.h
+++ b/source/common/control/peer_listener.h
@@ -1,5 +1,6 @@
-// The listener for other control machines and for daemons: the first frame of a
-// connection says which of the two it is, and whether it is of this cluster.
+// Accepts connections from other control nodes and from daemons. The first
+// frame of a connection (PeerHello or SessionHello) tells which of the two has
+// connected and to which cluster the sender belongs.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -17,17 +18,21 @@
 
 namespace juniperway::control {
 
+// Owned by ControlNode; passes accepted connections and their frames to the
+// ports. Owns each connection until it closes; on_peer_connected and
+// open_session get a share of the ownership.
 class PeerListener {
  public:
   using Connection = std::shared_ptr<net::FrameConnection>;
 
   struct Ports {
-    // A control machine's connection, and its frames.
+    // Called when a control node has connected, then for each of its frames.
     std::function<void(const protocol::PeerHelloT&, Connection)>
         on_peer_connected;
     std::function<void(raft::NodeId, net::FrameBytes, const Connection&)>
         on_peer_frame;
-    // A daemon's session; 0: refused. Then its frames and its end.
+    // Opens a daemon's session and returns the session's id, or 0 when the
+    // session is refused. Then called for each of its frames and at its end.
     std::function<std::uint64_t(const Connection&,
                                 const protocol::SessionHelloT&)>
         open_session;
@@ -46,14 +51,15 @@
   asio::ip::tcp::endpoint local_endpoint() const {
     return listener_.local_endpoint();
   }
-  // Closes connections that said no hello in time; to be called a few times a
-  // second.
+  // Closes connections whose hello did not arrive within the timeout. The
+  // caller calls this several times a second.
   void Tick(MonotonicTime now);
-  // Closes the listener and every connection; nothing runs after this.
+  // Closes the listener and every connection; no callback runs after this call.
   void Close();
 
  private:
-  // What a connection turned out to be: neither is set before its hello.
+  // An accepted connection. `peer` and `session` are unset until the hello;
+  // then one of them is set.
   struct Inbound {
     Connection connection;
     MonotonicTime accepted;
@@ -72,7 +78,8 @@
   Ports ports_;
   std::uint64_t last_inbound_id_ = 0;
   std::map<std::uint64_t, Inbound> inbound_;
-  // Handlers that outlive this object find it gone.
+  // Each handler keeps a copy of the pointer, and returns without effect when
+  // the value is false because the object was closed.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
   net::FrameListener listener_;
 };
--- a/source/common/control/peer_network.cc
+++ b/source/common/control/peer_network.cc
@@ -8,13 +8,14 @@
 namespace {
 
 constexpr Duration kConnectTimeout = seconds(1);
-// Reconnect attempts are this far apart, drawn from [half, whole].
+// Maximum delay between two connection attempts to a peer; each delay is drawn
+// at random from [half of this, this].
 constexpr Duration kReconnectInterval = milliseconds(200);
-// A machine that was sent frames and has been silent for this long is
-// connected anew: the path may be gone without a signal.
+// A peer that answers nothing for this long gets new connections: a network
+// path can fail without closing the TCP connection.
 constexpr Duration kUnresponsiveTimeout = seconds(2);
-// Frames to a machine that does not read are dropped past this. The largest
-// snapshot fits.
+// Above this, frames to a peer that does not read are dropped. Large enough for
+// the largest snapshot.
 constexpr std::size_t kMaximumQueuedBytes = 1U << 30;
 
 }  // namespace
--- a/source/common/control/peer_network.h
+++ b/source/common/control/peer_network.h
@@ -1,7 +1,7 @@
-// Connections between control machines. Each machine opens one to every other
-// and keeps those that the others opened to it; a frame goes out on the one
-// that last showed that it works, so that answers come back the way of what
-// they answer. Frames may be lost: consensus and calls cope.
+// Connections between control nodes. Each node opens one connection to every
+// other node and accepts one from each. A frame is sent on the connection that
+// last received a frame, so an answer takes the connection on which its request
+// arrived. Frames may be lost; consensus and forwarded calls send again.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -20,52 +20,58 @@
 
 namespace juniperway::control {
 
+// The connections of one control node to the others. ControlNode owns the
+// object; connect handlers hold weak references to it.
 class PeerNetwork : public std::enable_shared_from_this<PeerNetwork> {
  public:
   using FrameHandler =
       std::function<void(raft::NodeId from, protocol::ControlFrameT frame)>;
 
-  // What this machine says of itself to the others.
+  // What this node sends about itself in its hello.
   struct Identity {
     std::string cluster;
     raft::NodeId node_id = raft::kNoNode;
     Place place;
   };
 
+  // @param seed of the random delays between connection attempts.
+  // @param on_frame called for each frame from another node.
   PeerNetwork(asio::io_context& context, Identity identity, std::uint64_t seed,
               FrameHandler on_frame);
 
-  // The machines to keep a connection to; this node itself is passed over.
+  // Sets the members to keep a connection to; this node itself is ignored.
   void SetPeers(const std::vector<raft::Member>& members);
 
-  // Takes over a connection that another machine opened and said hello on.
+  // Adds a connection that another control node opened and whose hello was
+  // accepted; replaces and closes that node's earlier one.
   void AddIncomingConnection(raft::NodeId from,
                              std::shared_ptr<net::FrameConnection> connection);
-  // A frame that came on an adopted connection.
+  // Handles a frame that was received on `connection`.
   void OnFrame(raft::NodeId from, net::FrameBytes bytes,
                const std::shared_ptr<net::FrameConnection>& connection);
 
-  // A machine that sends nothing after this for a while is taken for
-  // unreachable.
-  // @return false when no connection to that machine is up.
+  // Sends a message that `to` answers. When `to` sends nothing within the
+  // timeout, Tick() closes its connections and connects again.
+  // @return false when no usable connection to that node is open.
   template <typename Message>
   bool Send(raft::NodeId to, Message message) {
     return SendOn(FindConnection(to, /*awaits_answer=*/true),
                   std::move(message));
   }
-  // The same for the last message of an exchange, which nothing answers.
+  // Sends a message that is not answered, without the timeout of Send().
   template <typename Message>
   bool SendOneWay(raft::NodeId to, Message message) {
     return SendOn(FindConnection(to, /*awaits_answer=*/false),
                   std::move(message));
   }
 
-  // Bytes that wait on the connection to that machine; 0 when none is up.
+  // Bytes queued on the open connections to that node.
   std::size_t QueuedBytes(raft::NodeId to) const;
 
-  // Opens anew what looks dead; to be called a few times a second.
+  // Closes the connections of unresponsive nodes and opens missing ones. The
+  // caller calls this several times a second.
   void Tick(MonotonicTime now);
-  // Closes every connection; nothing runs after this.
+  // Closes every connection; no callback runs after this call.
   void Stop();
 
  private:
@@ -73,18 +79,19 @@
 
   struct Path {
     Connection connection;
-    // When it was opened, or a frame last came on it.
+    // When the connection was opened, or last received a frame.
     MonotonicTime last_received = MonotonicTime::min();
   };
 
   struct Peer {
-    std::string address;  // empty: only it can connect
+    std::string address;  // empty: only the peer can connect
     bool should_connect = false;
     bool connecting = false;
     MonotonicTime next_attempt = MonotonicTime::min();
     Path outgoing;
     Path incoming;
-    // When a frame was first sent after the last one came, on either path.
+    // When the first frame that awaits an answer was sent since the peer's
+    // latest frame, on either path.
     MonotonicTime unanswered_since = MonotonicTime::max();
   };
 
@@ -96,13 +103,14 @@
     session::SendMessage(*connection, std::move(message));
     return true;
   }
-  // @param awaits_answer the silence of the machine is measured from now on.
+  // @param awaits_answer starts the unresponsiveness timeout unless it already
+  // runs.
   net::FrameConnection* FindConnection(raft::NodeId to, bool awaits_answer);
   void Connect(raft::NodeId id, Peer& peer);
   void OnConnected(raft::NodeId id,
                    Result<std::shared_ptr<net::FrameConnection>> result);
   void CloseConnections(Peer& peer);
-  // Open, and not overfull.
+  // Whether the path's connection is open and its queue below the maximum.
   static bool IsUsable(const Path& path);
 
   asio::io_context& context_;
--- a/source/common/control/raft_driver.cc
+++ b/source/common/control/raft_driver.cc
@@ -10,12 +10,12 @@
 namespace juniperway::control {
 namespace {
 
-// Bounds how long the timer sleeps when the state machine has no deadline.
+// Maximum delay of the timer when the state machine has no earlier deadline.
 constexpr Duration kMaximumTimerDelay = seconds(1);
 constexpr Duration kCommitWriteDelay = milliseconds(100);
 constexpr Duration kFullDiskRetryInterval = milliseconds(200);
-// An entry to be applied at a restart costs about as much as this many bytes of
-// a snapshot to be read.
+// At a restart, applying one log entry takes about as long as reading this many
+// bytes of a snapshot.
 constexpr std::size_t kSnapshotBytesPerEntry = 1024;
 
 }  // namespace
@@ -53,7 +53,7 @@
 
 void RaftDriver::Step(const raft::Message& message) {
   if (suspended()) {
-    return;  // As lost: it could not be answered.
+    return;  // Handled like a lost message: the node cannot answer it.
   }
   fsm_.Step(message, ReadMonotonicClock());
   ScheduleProcessing();
@@ -128,8 +128,8 @@
   if (fsm_.HasLostData()) {
     logging::LogEvent(storage::kDataLost, {{"node", id_}});
     Fail({ErrorCode::kCorrupt, "data_folder",
-          "holds no state, but the group counts on this node: its disk was "
-          "lost; replace it under a new node_id"});
+          "holds no state, but the group has this node as a voter: its disk "
+          "was lost; replace the node under a new node_id"});
     return;
   }
   CompactIfLarge();
@@ -198,7 +198,7 @@
 Result<void> RaftDriver::CheckNotSuspended() const {
   if (suspended()) {
     return MakeError(ErrorCode::kUnavailable, "",
-                     "this machine's disk is full");
+                     "the disk of this control node is full");
   }
   return {};
 }
@@ -236,8 +236,8 @@
   }
 }
 
-// What was committed last is noted with the next write; where none comes, by a
-// write of its own.
+// The next write also stores the latest commit index. When no write follows
+// within the delay, the driver writes the commit index alone.
 void RaftDriver::ScheduleCommitIndexWrite() {
   if (commit_write_scheduled_) {
     return;
@@ -269,14 +269,14 @@
   Result<raft::Snapshot> made =
       fsm_.MakeSnapshot(applied_, callbacks_.encode_state());
   if (!made) {
-    return;  // The leader sent a later one meanwhile.
+    return;  // The leader's newer snapshot was installed meanwhile.
   }
   raft::Snapshot snapshot = std::move(*made);
   if (auto stored = store_->Compact(snapshot, limits_.kept_entries); !stored) {
     if (stored.error().code != ErrorCode::kNoSpace) {
       Fail(stored.error());
     }
-    return;  // Of a full disk: the next entry tries again.
+    return;  // The disk is full; the next ProcessReady() retries.
   }
   logging::LogEvent(kLogCompacted, {{"node", id_},
                                     {"index", snapshot.index},
--- a/source/common/control/raft_driver.h
+++ b/source/common/control/raft_driver.h
@@ -1,7 +1,7 @@
-// Runs the consensus state machine under real time: ticks it, writes and syncs
-// what it wants kept, sends its messages, applies what is committed, and
-// compacts the log. One event-loop thread; syncs block it, which makes what
-// arrives meanwhile one batch.
+// Runs the consensus state machine (raft::Fsm) in real time: ticks it, writes
+// and syncs its entries, sends its messages, applies committed entries and
+// compacts the log. All work happens on the event loop's thread. A sync blocks
+// the thread, so messages that arrive meanwhile are handled in one batch.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -18,32 +18,39 @@
 namespace juniperway::control {
 
 struct CompactionLimits {
-  // A snapshot is taken when the log since the last one is past either.
+  // A snapshot is taken when the log since the previous one reaches either
+  // `bytes` or `entries`, or the higher bounds of IsCompactionDue().
   std::size_t bytes = 0;
   std::size_t entries = 0;
-  // Entries that stay in the store behind the snapshot.
+  // Entries that remain in the store before the snapshot's index.
   raft::Index kept_entries = 0;
 };
 
-// Whether a snapshot is to be taken. A large state is written anew only after
-// as much log has come as it takes itself, so that the work stays in
-// proportion.
+// Whether a snapshot should be taken. The bounds grow with the size of the
+// latest snapshot, so that the cost of writing a large state stays proportional
+// to the log written since.
 bool IsCompactionDue(const CompactionLimits& limits, std::size_t log_bytes,
                      std::size_t log_entries, std::size_t snapshot_bytes);
 
+// Drives one node's consensus state machine and owns it and its log store.
+// In a daemon, ControlNode owns the driver and provides the callbacks; handlers
+// that are in flight keep the driver alive after Stop().
 class RaftDriver : public std::enable_shared_from_this<RaftDriver> {
  public:
   struct Callbacks {
+    // Sends messages to the members they name; messages may be lost.
     std::function<void(std::vector<raft::Message>)> send;
-    // Committed entries, in order, each once.
+    // Called once for each committed entry, in log order.
     std::function<void(const raft::Entry&)> apply;
-    // A snapshot of the leader replaces the state.
+    // Replaces the state with a snapshot from the leader.
     std::function<void(const raft::Snapshot&)> install;
-    // The state as it is, for a snapshot.
+    // Encodes the current state for a snapshot.
     std::function<std::string()> encode_state;
-    // Role, term, leader, commit or configuration may have changed.
+    // Called when role, term, leader, commit index or configuration may have
+    // changed.
     std::function<void()> on_change;
-    // The store failed; the driver has stopped for good.
+    // Called when the store failed or has lost its data; the driver has stopped
+    // and cannot be restarted.
     std::function<void(const Error&)> on_failure;
   };
 
@@ -53,10 +60,13 @@
              const CompactionLimits& limits, Callbacks callbacks);
 
   void Start();
-  // Nothing runs after this.
+  // No callback runs after this call.
   void Stop();
 
+  // Handles a message from another member.
   void Step(const raft::Message& message);
+  // The following calls return kUnavailable while the node is suspended, and
+  // otherwise the result of the raft::Fsm function of the same name.
   Result<raft::Fsm::Proposal> Propose(std::string command);
   Result<raft::Fsm::Proposal> AddLearner(const raft::Member& member);
   Result<raft::Fsm::Proposal> PromoteLearner(raft::NodeId id);
@@ -66,21 +76,25 @@
   bool HasLeaderLease(MonotonicTime now) const {
     return fsm_.HasLeaderLease(now);
   }
-  // The disk is full: the machine takes no part until there is room.
+  // True while the disk is full: the node takes no part in consensus until a
+  // write succeeds.
   bool suspended() const { return unwritten_ready_.has_value(); }
   raft::Status GetStatus() const { return fsm_.GetStatus(); }
+  // Writes a consistent copy of the store to `file`.
   Result<void> Backup(const std::filesystem::path& file) {
     return store_->Backup(file);
   }
 
  private:
+  // Runs ProcessReady() in the next turn of the event loop.
   void ScheduleProcessing();
   void ProcessReady();
   // @return false when the store failed or is full.
   bool HandleReady(raft::Ready ready);
-  // Writes and syncs. @return false when it could not.
+  // Writes and syncs `ready`. @return false when the store failed or is full;
+  // `ready` may then be moved from.
   bool Write(raft::Ready& ready);
-  // What comes after the sync.
+  // Sends the messages and applies the entries that had to wait for the sync.
   void OnWritten(raft::Ready ready);
   void Suspend(raft::Ready ready, const Error& error);
   void RetryWrite();
@@ -106,7 +120,7 @@
   // Size of the latest snapshot.
   std::size_t snapshot_bytes_ = 0;
   bool commit_write_scheduled_ = false;
-  // What a full disk did not take yet.
+  // The write that failed because the disk was full; set while suspended.
   std::optional<raft::Ready> unwritten_ready_;
   bool processing_scheduled_ = false;
   bool stopped_ = false;
--- a/source/common/control/snapshot_parts.h
+++ b/source/common/control/snapshot_parts.h
@@ -1,5 +1,5 @@
-// Snapshots on their way between control machines: cut into frames, and put
-// together again. Pure.
+// Splits a snapshot into parts for transfer between control nodes, and
+// assembles the parts at the receiver. No I/O.
 #pragma once
 
 #include <cstddef>
@@ -12,17 +12,20 @@
 
 namespace juniperway::control {
 
-// Hands over the parts of `message`, which holds a snapshot, in their order. A
-// snapshot without data is one part.
+// Splits `message`, which must hold a snapshot, into parts of at most
+// `part_bytes` bytes of data, and calls `on_part` for each in order. A snapshot
+// without data makes one part.
 void ForEachSnapshotPart(
     const raft::Message& message, std::size_t part_bytes,
     const std::function<void(protocol::SnapshotPartT)>& on_part);
 
-// Puts parts together, one snapshot for each sender. Parts come in order, but
-// the connection may break between them and the sender start anew.
+// Assembles snapshots from their parts, one per sender at a time; owned by
+// ControlNode. Parts arrive in order, but a lost connection can interrupt a
+// transfer, after which the sender starts again at the first part.
 class SnapshotAssembler {
  public:
-  // @return the whole message when this was its last part.
+  // @return the complete message when `part` was its last part. A part that
+  // does not continue the sender's transfer discards what was collected.
   std::optional<raft::Message> Add(raft::NodeId from,
                                    const protocol::SnapshotPartT& part);
 
--- a/source/common/control/store_restore.cc
+++ b/source/common/control/store_restore.cc
@@ -24,8 +24,8 @@
                      configuration.learners.end(), has_id);
 }
 
-// A machine of the old group that comes back must not be taken for one of the
-// new group.
+// Refuses an id that the old group used: a node of the old group that returns
+// must not be mistaken for a member of the new group.
 Result<void> CheckUnusedNodeId(const storage::BackupContent& backup,
                                raft::NodeId id) {
   bool is_known =
@@ -43,13 +43,14 @@
   if (is_known) {
     return MakeError(ErrorCode::kInvalidArgument, "--node-id",
                      std::to_string(id) +
-                         " was a control machine of the backup's fleet; ids "
-                         "are never used again");
+                         " was a control node in the backup's fleet; node "
+                         "ids cannot be reused");
   }
   return {};
 }
 
-// Every claim of the old group expires before this: see kClaimClockAllowance.
+// Every claim that the old group granted expires by this time; see
+// kClaimClockAllowance.
 WallTime EarliestClaimTime(const ControlState& state, WallTime now) {
   Duration maximum_expiry_time{0};
   for (const auto& [id, resource] : state.fleet().resources()) {
@@ -89,8 +90,9 @@
   return (*store)->Write(ready);
 }
 
-// The folder gets its name only when the store in it is whole: one that is
-// half written could be taken for a new group's.
+// Writes the store into a temporary folder and renames the folder when the
+// store is complete, so that a control node never starts on a partly written
+// store.
 Result<void> PublishStore(const RestoreOptions& options,
                           const std::string& cluster,
                           const raft::Ready& ready) {
@@ -99,7 +101,7 @@
   std::error_code reason;
   if (fs::exists(partial, reason)) {
     return MakeError(ErrorCode::kConflict, partial.string(),
-                     "is left of a restore that did not end; remove it");
+                     "is left over from an interrupted restore; remove it");
   }
   if (auto written = WriteStore(partial, cluster, options.member.id, ready);
       !written) {
@@ -123,7 +125,8 @@
     snapshot.index = stored.entries.back().index;
     snapshot.term = stored.entries.back().term;
   }
-  // An index above 0, also when nothing was ever written.
+  // The store needs an index and a term above 0, also when the backup holds no
+  // entries.
   snapshot.index = std::max<raft::Index>(snapshot.index, 1);
   snapshot.term = std::max<raft::Term>(snapshot.term, 1);
   snapshot.configuration = {{member}, {}};
--- a/source/common/control/store_restore.h
+++ b/source/common/control/store_restore.h
@@ -1,5 +1,6 @@
-// Makes the store of a control machine from a backup, for a fleet that lost its
-// quorum for good. Offline: no process may use the folder.
+// Creates the consensus store of a control node from a backup, for a fleet that
+// has permanently lost its quorum. Runs offline: no other process may use the
+// data folder meanwhile.
 #pragma once
 
 #include <cstddef>
@@ -14,42 +15,46 @@
 
 namespace juniperway::control {
 
-// Daemons keep what they confirmed, and refuse older configurations. Changes
-// made after the backup are lost, so that their revisions must not come again
-// with another meaning. At 3,400 changes a day these last for months.
+// Number of revisions that a restored store skips. Daemons may have confirmed
+// revisions that were made after the backup and are lost with it, and they
+// refuse older configurations, so these revisions must not be used again for
+// other changes. At 3,400 changes a day this covers several months.
 inline constexpr resources::Revision kSkippedRevisions = 1'000'000;
 
-// The state after everything in a backup; also what was not committed yet,
-// whose outcome was still open.
+// Returns the state after applying every entry of a backup, including entries
+// that were not committed yet: the group may have committed them later.
 Result<ControlState> StateOfBackup(const raft::InitialState& stored);
 
+// Input of RestoreStore.
 struct RestoreOptions {
   std::filesystem::path backup;
-  // The daemon's; it must not hold a consensus store yet.
+  // The daemon's data folder; it must not hold a consensus store yet.
   std::filesystem::path data_folder;
-  // Empty: the backup's.
+  // Cluster of the restored store. Empty: the cluster of the backup.
   std::string cluster;
-  // The only voter of the restored store, under an id that the backup does not
-  // know; others join it as learners, with empty folders.
+  // The only voter of the restored store, with a node id that the backup does
+  // not contain. Other members join it as learners, with empty data folders.
   raft::Member member;
   resources::Revision skipped_revisions = kSkippedRevisions;
-  // Now, by the operator's clock.
+  // The current time by the operator's clock.
   WallTime now{};
 };
 
+// Summary of a restored store, for the operator.
 struct RestoredStore {
   std::string cluster;
   resources::Revision backup_revision = 0;
   resources::Revision revision = 0;
   std::size_t resources = 0;
-  // Until then, requests of non-repeatable classes are refused as expired: one
-  // of them may have run after the backup, and would run a second time.
+  // Requests of non-repeatable classes that expire by this time are refused as
+  // expired: such a request may have run after the backup, and would run a
+  // second time.
   WallTime claims_from{};
 };
 
-// Makes the store; see StateOfBackup for what it holds.
-// @return kInvalidArgument with the option's name, kNotFound or kCorrupt for
-//   the backup, kConflict or kIo for the folder.
+// Creates the store with the state that StateOfBackup returns.
+// @return kInvalidArgument with the option's name; kNotFound or kCorrupt for
+//   the backup; kConflict or kIo for the folder.
 Result<RestoredStore> RestoreStore(const RestoreOptions& options);
 
 }  // namespace juniperway::control
--- a/test/integration/control/control_server_test.cc
+++ b/test/integration/control/control_server_test.cc
@@ -1,5 +1,6 @@
-// Three control servers over real sockets: what one accepts the others serve,
-// and a daemon's session takes it in force.
+// Three control servers over TCP: every server serves a change that one of them
+// accepted, and the change comes in force when the daemons confirm it through
+// their sessions.
 #include "common/control/control_server.h"
 
 #include <doctest/doctest.h>
@@ -19,7 +20,7 @@
 
 constexpr int kOk = 200;
 
-// Waits until a change is in force, asking the machine at `position`.
+// Polls the control node at `position` until the change is in force.
 bool WaitInForce(ControlGroup& group, std::size_t position,
                  const std::string& change_id) {
   constexpr int kMaximumCalls = 20000;
@@ -32,7 +33,7 @@
   return false;
 }
 
-TEST_CASE("A change accepted at one machine is read at the others") {
+TEST_CASE("A change accepted by one control node is read at the others") {
   asio::io_context context(1);
   ControlGroup group(context, 3);
   const std::size_t leader = group.WaitForLeader(0);
@@ -62,7 +63,7 @@
         accepted["revision"]);
 }
 
-TEST_CASE("A daemon joins, gets lease and view, and a change gets in force") {
+TEST_CASE("A daemon joins, gets lease and view, and a change comes in force") {
   asio::io_context context(1);
   ControlGroup group(context, 3);
   REQUIRE(group.WaitForLeader(0) < group.size());
@@ -88,7 +89,7 @@
   }));
 }
 
-TEST_CASE("A daemon's session goes to the control machine of its zone") {
+TEST_CASE("A daemon opens its session to the control node of its zone") {
   asio::io_context context(1);
   ControlGroup group(context, 3, [](control::ControlServerOptions& options) {
     options.place = {"zone-" + std::to_string(options.node_id), "region"};
@@ -111,7 +112,8 @@
     return true;
   };
   REQUIRE(RunUntil(context, all_in_own_zone));
-  // Lost, it is left for another one; back, it gets its daemons again.
+  // The daemon connects to another control node when its own crashes, and
+  // returns after the restart.
   group.Crash(1);
   REQUIRE(RunUntil(context, [&] {
     return !clients[1]->ControlAddress().empty() &&
--- a/test/integration/control/leader_loss_test.cc
+++ b/test/integration/control/leader_loss_test.cc
@@ -1,6 +1,7 @@
-// Real control processes whose leader is killed, frozen or left alone: nothing
-// that was accepted is lost, a resend gets its first outcome, and a machine
-// without the quorum, or back from the cold, serves and grants nothing.
+// Control processes whose leader is killed, paused or loses its quorum. Guards
+// against losing an accepted change, against running a change again that a
+// client sends twice, and against a control node that serves old state or
+// grants leases after a pause or without a quorum.
 #include <doctest/doctest.h>
 #include <fmt/format.h>
 
@@ -31,7 +32,7 @@
   return resource;
 }
 
-// "control-2" has the API at position 1.
+// The index of a control node in ControlAddresses(): 1 for "control-2".
 std::size_t PositionOf(const std::string& node) {
   return std::stoul(node.substr(node.find('-') + 1)) - 1;
 }
@@ -40,14 +41,14 @@
   return "/v1/resources/Service/" + service;
 }
 
-// Whether a read of an accepted resource may get this status. Unavailable is
-// right; 404, "there is no such service", would be an old state.
+// Whether a read of an accepted resource may get this status. 503 and 504 are
+// allowed; 404 would mean that the node served a state from before the change.
 bool IsCurrentOrUnavailable(int status) {
   return status == kOk || status == 503 || status == 504;
 }
 
-// Reads that are the first thing a machine sees when it is back: they are sent
-// over connections from before it was frozen, before anything else is.
+// Reads that a paused control node handles first when it continues: they are
+// sent during the pause, over connections that were opened before it.
 class QueuedReads {
  public:
   explicit QueuedReads(std::string address)
@@ -67,7 +68,8 @@
                       statuses_.push_back(response.status);
                     });
     }
-    // Until they have left; nothing shows when.
+    // Gives the client time to send the requests; it does not report when it
+    // has sent them.
     RunUntil(
         context_, [] { return false; }, milliseconds(100));
   }
@@ -98,7 +100,7 @@
     return *leader;
   }
 
-  // Applies a new service and remembers what was accepted.
+  // Applies a new service and records the accepted revision.
   void ApplyAndRecord(const std::string& name) {
     const auto change = fleet->control().Apply({MakeService(name, 0)},
                                                "id-" + name, kWaitTimeout);
@@ -114,7 +116,7 @@
     }));
   }
 
-  // The first answer of the next leader must not take it back.
+  // The next leader's first answer must not report the change as not in force.
   void CheckStillInForce(const std::string& name) {
     lab::ControlReply change;
     REQUIRE(lab::WaitFor(kWaitTimeout, [&] {
@@ -142,14 +144,15 @@
   std::map<std::string, resources::Revision> accepted;
 };
 
-TEST_CASE("A killed leader takes no accepted change with it") {
+TEST_CASE("A crash of the leader loses no accepted change") {
   ControlFleet test;
   for (int round = 0; round < 2; ++round) {
     const std::string leader = test.WaitForLeader();
     const std::string before = fmt::format("before-{}", round);
     test.ApplyAndRecord(before);
     test.WaitInForce(before);
-    // One change is under way when the leader dies; its caller sends it again.
+    // One change is in flight when the leader is killed; the client sends it
+    // again.
     const std::string interrupted = fmt::format("torn-{}", round);
     const auto first = test.fleet->control().ApplyOnce(
         PositionOf(leader), {MakeService(interrupted, 0)}, "id-" + interrupted,
@@ -163,7 +166,7 @@
     test.ApplyAndRecord(fmt::format("after-{}", round));
     test.CheckNothingLost();
     REQUIRE(test.fleet->Restart(leader).has_value());
-    // It catches up from its store and the others.
+    // The restarted node catches up from its store and from the other members.
     REQUIRE(lab::WaitFor(kWaitTimeout, [&] {
       const auto read = test.fleet->control().Get(
           PositionOf(leader), PathOf(interrupted) + "?local=true");
@@ -177,7 +180,7 @@
   CHECK(lab::WaitFor(kWaitTimeout, repaired));
 }
 
-TEST_CASE("A leader that was frozen serves nothing old when it is back") {
+TEST_CASE("A leader that was paused serves no old state afterwards") {
   ControlFleet test;
   const std::string old_leader = test.WaitForLeader();
   const std::size_t position = PositionOf(old_leader);
@@ -203,7 +206,7 @@
   test.CheckNothingLost();
 }
 
-TEST_CASE("A machine without the quorum grants and accepts nothing") {
+TEST_CASE("A control node without a quorum grants and accepts nothing") {
   ControlFleet test;
   const std::string leader = test.WaitForLeader();
   REQUIRE(test.Query(kGateway).status == kOk);
@@ -214,7 +217,7 @@
       test.fleet->Freeze(node);
     }
   }
-  // The gateway's lease runs out; until then it may answer.
+  // The gateway may answer until its lease expires.
   REQUIRE(lab::WaitFor(kWaitTimeout,
                        [&] { return test.Query(kGateway).status != kOk; }));
   const auto refused = test.Query(kGateway);
--- a/test/integration/control/members_test.cc
+++ b/test/integration/control/members_test.cc
@@ -1,6 +1,6 @@
-// The control group changes: a machine joins and becomes a voter once it has
-// caught up, the leader is removed or stopped as planned, a daemon that went
-// silent is removed; and watches and backups, which any machine serves.
+// Membership changes: a control node joins and becomes a voter when it has
+// caught up, the leader is removed or shut down gracefully, and an unresponsive
+// daemon is removed. Also watches and backups, which every control node serves.
 #include <doctest/doctest.h>
 #include <fmt/format.h>
 
@@ -24,7 +24,7 @@
 constexpr int kAccepted = 202;
 constexpr int kMaximumCalls = 20000;
 
-// Asks the machine for its status until `condition` holds for it.
+// Polls the status of the control node at `position` until `condition` holds.
 template <typename Condition>
 bool WaitForStatus(ControlGroup& group, std::size_t position,
                    Condition condition) {
@@ -45,7 +45,7 @@
               .status == kOk);
 }
 
-TEST_CASE("A machine joins as a learner, then votes; a leader is removed") {
+TEST_CASE("A node joins as a learner, becomes a voter; a leader is removed") {
   asio::io_context context(1);
   ControlGroup group(context, 3);
   REQUIRE(group.WaitForLeader(0) < 3);
@@ -55,7 +55,7 @@
                                    {"address", group.Address(joining)}}
                         .dump();
   CHECK(group.Call(0, "POST", "/v1/members", body).status == kAccepted);
-  // A lost answer's resend is no error.
+  // The same request again, as after a lost answer, succeeds.
   CHECK(group.Call(1, "POST", "/v1/members", body).status == kAccepted);
   CHECK(WaitForStatus(group, 0, [](const nlohmann::json& status) {
     return status["voters"] == 4 && status["repaired"] == true;
@@ -74,7 +74,7 @@
   Apply(group, remaining, "after");
 }
 
-TEST_CASE("A machine that joins late gets a snapshot in parts") {
+TEST_CASE("A node that joins late gets a snapshot in parts") {
   asio::io_context context(1);
   ControlGroup group(context, 3, [](control::ControlServerOptions& options) {
     options.compaction_entries = 20;
@@ -96,12 +96,13 @@
   }));
   const auto all = group.GetJson(joining, "/v1/resources/Service?local=true");
   CHECK(all["items"].size() == kServices);
-  // What came before the snapshot is not known there: it did not come as a log.
+  // The node has no history before the snapshot, which shows that it did not
+  // get the changes as log entries.
   CHECK(group.Call(joining, "GET", "/v1/watch?from=1&timeout_ms=0").status ==
         410);
 }
 
-TEST_CASE("A leader that stops as planned hands over at once") {
+TEST_CASE("A leader that shuts down gracefully transfers leadership first") {
   asio::io_context context(1);
   ControlGroup group(context, 3);
   const std::size_t leader = group.WaitForLeader(0);
@@ -111,14 +112,15 @@
   REQUIRE(RunUntil(context, [&stopped] { return stopped; }));
   const std::size_t other = (leader + 1) % 3;
   const auto status = group.GetJson(other, "/v1/status");
-  // No election timeout: the next leader is there when the old one is gone.
+  // The next leader is known as soon as the old one has closed, without an
+  // election timeout.
   REQUIRE(status.is_object());
   CHECK(status["leader_reachable"] == true);
   CHECK(status["leader"] != leader + 1);
   Apply(group, other, "after");
 }
 
-TEST_CASE("A daemon that went silent is removed; a new start joins again") {
+TEST_CASE("An unresponsive daemon is removed; its next start joins again") {
   asio::io_context context(1);
   ControlGroup group(context, 3);
   REQUIRE(group.WaitForLeader(0) < 3);
@@ -138,7 +140,7 @@
   CHECK(RunUntil(context, has_both_members));
 }
 
-TEST_CASE("A watch waits for changes, and says when it must start anew") {
+TEST_CASE("A watch waits for changes and answers 410 when history is gone") {
   asio::io_context context(1);
   ControlGroup group(context, 3);
   REQUIRE(group.WaitForLeader(0) < 3);
@@ -173,7 +175,7 @@
   CHECK(group.Call(0, "GET", "/v1/watch?from=99&timeout_ms=0").status == 410);
 }
 
-TEST_CASE("A backup opens as a store with the state in it") {
+TEST_CASE("A backup opens as a store that holds the state") {
   asio::io_context context(1);
   ControlGroup group(context, 1);
   REQUIRE(group.WaitForLeader(0) == 0);
--- a/test/support/control_group.cc
+++ b/test/support/control_group.cc
@@ -16,8 +16,8 @@
 constexpr const char* kCluster = "test";
 constexpr std::uint64_t kSeed = 7;
 
-// An endpoint that is free now. Its address is this process's own, so that no
-// other process takes the port meanwhile.
+// Returns a free endpoint. The loopback address is derived from the process id,
+// so that no other test process takes the port before the server binds it.
 asio::ip::tcp::endpoint FindFreeEndpoint(asio::io_context& context) {
   const auto process = static_cast<unsigned>(getpid());
   const auto address = asio::ip::make_address(
@@ -31,7 +31,8 @@
       (std::filesystem::temp_directory_path() / "juniperway-control-XXXXXX")
           .string();
   if (mkdtemp(pattern.data()) == nullptr) {
-    throw std::runtime_error("no temporary folder");
+    throw std::runtime_error(
+        "cannot create a temporary folder for the control group");
   }
   return pattern;
 }
--- a/test/support/control_group.h
+++ b/test/support/control_group.h
@@ -1,5 +1,5 @@
-// Control servers of one cluster in one event loop, on loopback addresses of
-// this process, with stores in a folder that goes with the group.
+// Control servers of one cluster in one event loop, for tests. The servers
+// listen on loopback addresses that belong to this process.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -16,44 +16,52 @@
 
 namespace juniperway::test {
 
+// Owns the servers and a temporary folder with their stores, which the
+// destructor removes. The test owns the io_context, which must outlive the
+// group.
 class ControlGroup {
  public:
   using Adjust = std::function<void(control::ControlServerOptions&)>;
 
-  // Starts `size` control servers, which are each other's first voters.
-  // @param adjust changes the options of each server; may be empty.
+  // Starts `size` control servers, which are the initial voters.
+  // @param adjust called with the options of each server before it starts; may
+  // be empty.
   ControlGroup(asio::io_context& context, std::size_t size, Adjust adjust = {});
   ~ControlGroup();
   ControlGroup(const ControlGroup&) = delete;
   ControlGroup& operator=(const ControlGroup&) = delete;
 
-  // Server by position; null when it is stopped.
+  // The server at `position`; null after Crash().
   control::ControlServer* server(std::size_t position) {
     return servers_.at(position).get();
   }
-  // Ends a server without a word, as a crash does; its store stays.
+  // Destroys a server without a graceful shutdown, as a crash does. Its store
+  // remains.
   void Crash(std::size_t position) { servers_.at(position).reset(); }
-  // Starts it again on its store.
+  // Starts the server at `position` again with its store.
   void Restart(std::size_t position);
-  // Starts one more server, which waits until the cluster adds it.
-  // @return its position; its node id is one more.
+  // Starts an additional server, which waits until the cluster adds it.
+  // @return the server's position; its node id is the position plus one.
   std::size_t StartUnjoined();
 
+  // The address for other control nodes and for daemons, "ip:port".
   std::string Address(std::size_t position) const;
+  // The URL of `path` in the resource API.
   std::string Url(std::size_t position, const std::string& path) const;
-  // A session client that knows all servers.
+  // Makes a daemon's session client that has the addresses of all servers.
   std::unique_ptr<session::ControlSessionClient> MakeClient(
       const std::string& daemon_id, const std::string& zone);
 
-  // One call of the resource API, run to its end.
+  // Sends one request to the resource API and runs the loop until the answer.
   net::HttpClientResponse Call(std::size_t position, const std::string& method,
                                const std::string& path,
                                const std::string& body = {},
                                const std::string& change_id = {});
   // The body of a 200 answer, parsed; null for any other.
   nlohmann::json GetJson(std::size_t position, const std::string& path);
-  // Runs the loop until the machine at `position` sees a leader for certain.
-  // @return the leader's position; size() when none came.
+  // Polls the status of the server at `position` until that server can reach
+  // the leader.
+  // @return the leader's position; size() when the polls end without a leader.
   std::size_t WaitForLeader(std::size_t position);
   std::size_t size() const { return servers_.size(); }
   const std::filesystem::path& folder() const { return folder_; }
@@ -69,7 +77,7 @@
   std::unique_ptr<net::HttpClient> http_;
 };
 
-// A service with its defaults, as the API takes it.
+// JSON of a service with default settings, in the format of the resource API.
 std::string ServiceJson(const std::string& name, std::uint64_t version);
 
 }  // namespace juniperway::test
--- a/test/unit/control/peer_network_test.cc
+++ b/test/unit/control/peer_network_test.cc
@@ -1,5 +1,6 @@
-// Connections between control machines: a path that is gone without a signal
-// is noticed by its silence, and opened anew.
+// Connections between control nodes. Guards against a network path that fails
+// without closing the TCP connection: the node must notice the missing answers,
+// connect again, and meanwhile send on the connection that works.
 #include "common/control/peer_network.h"
 
 #include <doctest/doctest.h>
@@ -12,7 +13,7 @@
 
 using asio::ip::tcp;
 
-TEST_CASE("A peer that went silent is connected anew") {
+TEST_CASE("An unresponsive peer gets a new connection") {
   asio::io_context context;
   std::vector<std::shared_ptr<net::FrameConnection>> accepted;
   int frames = 0;
@@ -21,7 +22,7 @@
       context, tcp::endpoint(asio::ip::address_v4::loopback(), 0),
       [&](auto connection) {
         accepted.push_back(connection);
-        // Takes everything and answers nothing: a half-open path.
+        // Reads every frame and answers none, like a half-open connection.
         connection->Start([&](net::FrameBytes) { ++frames; },
                           [&] { ++closed; });
       });
@@ -32,7 +33,7 @@
   const MonotonicTime start = ReadMonotonicClock();
   peers->Tick(start);
   REQUIRE(test::RunUntil(context, [&] { return frames == 1; }));  // hello
-  // A quiet connection is no silent one.
+  // A connection without unanswered frames stays open.
   peers->Tick(start + seconds(60));
   test::RunReady(context);
   CHECK(closed == 0);
@@ -48,10 +49,10 @@
   peers->Stop();
 }
 
-TEST_CASE("Frames take the connection that was last seen to work") {
+TEST_CASE("Frames take the connection that last received a frame") {
   asio::io_context context;
-  // The other machine: what this one opens to it swallows everything, as a path
-  // does that lost its way without a sign.
+  // The other node never answers on the connection that this node opens, like a
+  // network path that failed without closing the connection.
   std::vector<std::shared_ptr<net::FrameConnection>> accepted;
   int unanswered_frames = 0;
   const net::FrameListener listener(
@@ -68,7 +69,7 @@
   REQUIRE(test::RunUntil(context,
                          [&] { return unanswered_frames == 1; }));  // hello
 
-  // Then the other machine opens one to this machine.
+  // The other node then connects to this node.
   std::shared_ptr<net::FrameConnection> incoming;
   const net::FrameListener local_listener(
       context, tcp::endpoint(asio::ip::address_v4::loopback(), 0),
--- a/test/unit/control/raft_driver_test.cc
+++ b/test/unit/control/raft_driver_test.cc
@@ -1,4 +1,5 @@
-// The driver acknowledges and applies nothing that its store could not keep.
+// Guards against data loss after a failed write: the driver must neither
+// acknowledge nor apply an entry that its store did not write.
 #include "common/control/raft_driver.h"
 
 #include <doctest/doctest.h>
@@ -10,7 +11,7 @@
 namespace juniperway::control {
 namespace {
 
-// Keeps nothing; refuses every write from a given time on.
+// Stores nothing; every write fails with `fault` while `full` is set.
 class FaultyStore final : public storage::LogStore {
  public:
   FaultyStore(const bool& full, const ErrorCode& fault)
@@ -111,7 +112,7 @@
   CHECK(node.sent == 0);
 }
 
-TEST_CASE("A full disk suspends the node until there is room") {
+TEST_CASE("A full disk suspends the node until a write succeeds") {
   DrivenNode node(1);
   REQUIRE(node.RunUntil([&] { return !node.applied.empty(); }));
   node.fault = ErrorCode::kNoSpace;
--- a/test/unit/control/snapshot_parts_test.cc
+++ b/test/unit/control/snapshot_parts_test.cc
@@ -1,3 +1,5 @@
+// Guards against a snapshot assembled from parts of different transfers, which
+// would install a state that never existed.
 #include "common/control/snapshot_parts.h"
 
 #include <doctest/doctest.h>
@@ -27,7 +29,7 @@
   return parts;
 }
 
-TEST_CASE("A snapshot in parts arrives whole") {
+TEST_CASE("A snapshot in parts is assembled completely") {
   for (const std::string& data :
        {std::string(), std::string("abc"), std::string("abcd"),
         std::string("abcdefghij")}) {
@@ -46,27 +48,27 @@
   }
 }
 
-TEST_CASE("Parts of a broken transfer are not mixed with another") {
+TEST_CASE("Parts of an interrupted transfer are not mixed with another") {
   const auto old_parts = Split(MakeMessage(9, "abcdefghij"));
   const auto parts = Split(MakeMessage(10, "ABCDEFGHIJ"));
   SnapshotAssembler assembler;
-  SUBCASE("one in the middle is missing") {
+  SUBCASE("a part in the middle is missing") {
     assembler.Add(1, parts[0]);
     CHECK_FALSE(assembler.Add(1, parts[2]).has_value());
   }
-  SUBCASE("the next one is of another snapshot") {
+  SUBCASE("the next part belongs to another snapshot") {
     assembler.Add(1, old_parts[0]);
     assembler.Add(1, parts[1]);
     CHECK_FALSE(assembler.Add(1, parts[2]).has_value());
   }
-  SUBCASE("two senders at once") {
+  SUBCASE("two senders send at the same time") {
     assembler.Add(1, parts[0]);
     assembler.Add(2, parts[0]);
     assembler.Add(1, parts[1]);
     CHECK_FALSE(assembler.Add(2, parts[2]).has_value());
     CHECK(assembler.Add(1, parts[2]).has_value());
   }
-  // A new start gets through after each.
+  // In each case a transfer that starts again succeeds.
   assembler.Add(1, parts[0]);
   assembler.Add(1, parts[1]);
   const auto complete = assembler.Add(1, parts[2]);
--- a/test/unit/control/store_restore_test.cc
+++ b/test/unit/control/store_restore_test.cc
@@ -1,5 +1,6 @@
-// A store restored from a backup: the same resources, and nothing that may
-// have been used since is taken for new.
+// A store restored from a backup holds the backup's resources. Guards against
+// using revisions, request ids or node ids again that the old group may have
+// used after the backup.
 #include "common/control/store_restore.h"
 
 #include <doctest/doctest.h>
@@ -38,8 +39,8 @@
   return command;
 }
 
-// A folder with a store that holds two services: one in its snapshot, one in
-// its log; and a backup of it.
+// A folder with a backup of a store that holds two services: one in its
+// snapshot, one in its log.
 struct Fixture {
   Fixture() {
     ControlState state;
@@ -99,7 +100,7 @@
   CHECK(state->FindChange("second") != nullptr);
 }
 
-TEST_CASE("revisions and request ids used after the backup are not new") {
+TEST_CASE("revisions and request ids used after the backup are not reused") {
   const Fixture fixture;
   const auto restored = RestoreStore(fixture.Options());
   REQUIRE(restored.has_value());
@@ -109,10 +110,10 @@
   REQUIRE(backup.has_value());
   auto state = StateOfBackup(backup->state);
   REQUIRE(state.has_value());
-  // A daemon that confirmed a lost revision gets the whole state.
+  // A daemon that confirmed a lost revision gets a full update.
   CHECK(state->UpdateSince(3).from_revision == 0);
   CHECK(state->UpdateSince(3).to_revision == restored->revision);
-  // The latest claim that the old group can have granted.
+  // The claim with the latest expiry that the old group can have granted.
   protocol::ClaimRequestT claim;
   claim.service = "b";
   claim.request_id = "id";
@@ -156,7 +157,7 @@
   options = fixture.Options();
   options.data_folder = fixture.folder.path() / "old";
   CHECK(code_of(options) == ErrorCode::kConflict);
-  // An interrupted restore is not continued in silence.
+  // A folder that an interrupted restore left behind is not overwritten.
   options = fixture.Options();
   fs::create_directories(fixture.folder.path() / "new/control.partial");
   CHECK(code_of(options) == ErrorCode::kConflict);
