--- a/source/common/control/control_node_peers.cc
+++ b/source/common/control/control_node_peers.cc
@@ -40,8 +40,8 @@
 
 void ControlNode::OnSnapshotPart(raft::NodeId from,
                                  const protocol::SnapshotPartT& part) {
-  // An empty answer, so that the sender does not take this node for
-  // unresponsive during a long transfer.
+  // The empty answer confirms that this node received the part. Without
+  // answers, the sender would close the connection during a long transfer.
   peers_->Send(from, protocol::ConsensusMessagesT{});
   const auto complete = snapshot_assembler_.Add(from, part);
   if (complete && complete->from == from) {
@@ -69,7 +69,7 @@
     OnProgressUpdate(*progress);
   } else if (const auto* observed = message.AsBackendObservations()) {
     observations_->OnDigest(session::DecodeObservations(*observed));
-    // An empty answer shows the sender that the connection works: followers
+    // The empty answer shows the sender that the connection works: followers
     // exchange few other messages.
     peers_->SendOneWay(from, protocol::ConsensusMessagesT{});
   } else if (const auto* operations = message.AsForwardOperations()) {
--- a/source/common/control/control_server.h
+++ b/source/common/control/control_server.h
@@ -24,7 +24,7 @@
 
 namespace juniperway::control {
 
-// Folder of the consensus store, inside the daemon's data folder.
+// Name of the folder of the consensus store, inside the daemon's data folder.
 inline constexpr const char* kControlFolderName = "control";
 
 // Options of one control node. The caller fills them once, before the server
@@ -97,8 +97,8 @@
   // these; see IsCompactionDue().
   std::size_t compaction_bytes = 16U << 20;
   std::size_t compaction_entries = 20000;
-  // Entries that remain in the log before a snapshot's index, so that slightly
-  // delayed followers need no snapshot.
+  // Number of entries that remain in the log before a snapshot's index, so that
+  // slightly delayed followers need no snapshot.
   raft::Index kept_entries = 2000;
   // Approximate size in bytes of the frames that carry a snapshot to another
   // control node.
--- a/source/common/control/peer_listener.h
+++ b/source/common/control/peer_listener.h
@@ -70,7 +70,7 @@
   void OnAccept(Connection connection);
   void OnFrame(std::uint64_t inbound_id, net::FrameBytes bytes);
   void OnClosed(std::uint64_t inbound_id);
-  // @return false when the connection is to be closed.
+  // @return false when the connection must be closed.
   bool OnHello(Inbound& inbound, net::FrameBytes bytes);
 
   std::string cluster_;
--- a/source/common/control/peer_network.cc
+++ b/source/common/control/peer_network.cc
@@ -14,8 +14,8 @@
 // A peer that answers nothing for this long gets new connections: a network
 // path can fail without closing the TCP connection.
 constexpr Duration kUnresponsiveTimeout = seconds(2);
-// Above this, frames to a peer that does not read are dropped. Large enough for
-// the largest snapshot.
+// When this many bytes are queued on a connection, further frames are not sent
+// on it. The maximum exceeds the size of the largest snapshot.
 constexpr std::size_t kMaximumQueuedBytes = 1U << 30;
 
 }  // namespace
--- a/source/common/control/peer_network.h
+++ b/source/common/control/peer_network.h
@@ -27,7 +27,7 @@
   using FrameHandler =
       std::function<void(raft::NodeId from, protocol::ControlFrameT frame)>;
 
-  // What this node sends about itself in its hello.
+  // The fields of the hello that this node sends to other nodes.
   struct Identity {
     std::string cluster;
     raft::NodeId node_id = raft::kNoNode;
--- a/source/common/control/raft_driver.h
+++ b/source/common/control/raft_driver.h
@@ -22,7 +22,7 @@
   // `bytes` or `entries`, or the higher bounds of IsCompactionDue().
   std::size_t bytes = 0;
   std::size_t entries = 0;
-  // Entries that remain in the store before the snapshot's index.
+  // Number of entries that remain in the store before the snapshot's index.
   raft::Index kept_entries = 0;
 };
 
@@ -89,6 +89,7 @@
   // Runs ProcessReady() in the next turn of the event loop.
   void ScheduleProcessing();
   void ProcessReady();
+  // Sends, writes and applies the content of `ready`.
   // @return false when the store failed or is full.
   bool HandleReady(raft::Ready ready);
   // Writes and syncs `ready`. @return false when the store failed or is full;
--- a/source/common/control/store_restore.cc
+++ b/source/common/control/store_restore.cc
@@ -51,16 +51,16 @@
 
 // Every claim that the old group granted expires by this time; see
 // kClaimClockAllowance.
-WallTime EarliestClaimTime(const ControlState& state, WallTime now) {
-  Duration maximum_expiry_time{0};
+WallTime ClaimsRefusedUntil(const ControlState& state, WallTime now) {
+  Duration maximum_claim_duration{0};
   for (const auto& [id, resource] : state.fleet().resources()) {
     if (const auto* service =
             std::get_if<resources::Service>(&resource.specification)) {
-      maximum_expiry_time =
-          std::max(maximum_expiry_time, service->maximum_expiry);
+      maximum_claim_duration =
+          std::max(maximum_claim_duration, service->maximum_expiry);
     }
   }
-  return std::max(now, state.wall_time()) + maximum_expiry_time +
+  return std::max(now, state.wall_time()) + maximum_claim_duration +
          kClaimClockAllowance;
 }
 
@@ -177,7 +177,7 @@
   restored.cluster =
       options.cluster.empty() ? backup->cluster : options.cluster;
   restored.backup_revision = state->revision();
-  restored.claims_from = EarliestClaimTime(*state, options.now);
+  restored.claims_from = ClaimsRefusedUntil(*state, options.now);
   state->LeaveGap(options.skipped_revisions, restored.claims_from);
   restored.revision = state->revision();
   restored.resources = state->fleet().resources().size();
