--- a/source/common/control/peer_network.cc
+++ b/source/common/control/peer_network.cc
@@ -14,8 +14,9 @@
 // A peer that answers nothing for this long gets new connections: a network
 // path can fail without closing the TCP connection.
 constexpr Duration kUnresponsiveTimeout = seconds(2);
-// When this many bytes are queued on a connection, further frames are not sent
-// on it. The maximum exceeds the size of the largest snapshot.
+// A connection with this many queued bytes is not used for further frames. The
+// value allows for the largest snapshot, but net::FrameConnection closes a
+// connection earlier, at its own limit (kMaximumQueuedFrameBytes).
 constexpr std::size_t kMaximumQueuedBytes = 1U << 30;
 
 }  // namespace
