--- a/test/unit/control/snapshot_parts_test.cc
+++ b/test/unit/control/snapshot_parts_test.cc
@@ -1,3 +1,5 @@
+// Guards against a snapshot assembled from parts of different transfers, which
+// would install a state that never existed.
 #include "common/control/snapshot_parts.h"
 
 #include <doctest/doctest.h>
@@ -27,51 +29,51 @@
   return parts;
 }
 
-TEST_CASE("A snapshot in parts arrives whole") {
+TEST_CASE("A snapshot in parts is assembled completely") {
   for (const std::string& data :
        {std::string(), std::string("abc"), std::string("abcd"),
         std::string("abcdefghij")}) {
     CAPTURE(data);
     SnapshotAssembler assembler;
-    std::optional<raft::Message> whole;
+    std::optional<raft::Message> complete;
     for (const auto& part : Split(MakeMessage(9, data))) {
-      CHECK_FALSE(whole.has_value());
-      whole = assembler.Add(1, part);
+      CHECK_FALSE(complete.has_value());
+      complete = assembler.Add(1, part);
     }
-    REQUIRE(whole.has_value());
-    CHECK(whole->snapshot->data == data);
-    CHECK(whole->snapshot->index == 9);
-    CHECK(whole->snapshot->configuration.voters.size() == 1);
-    CHECK(whole->term == 3);
+    REQUIRE(complete.has_value());
+    CHECK(complete->snapshot->data == data);
+    CHECK(complete->snapshot->index == 9);
+    CHECK(complete->snapshot->configuration.voters.size() == 1);
+    CHECK(complete->term == 3);
   }
 }
 
-TEST_CASE("Parts of a broken transfer are not mixed with another") {
+TEST_CASE("Parts of an interrupted transfer are not mixed with another") {
   const auto old_parts = Split(MakeMessage(9, "abcdefghij"));
   const auto parts = Split(MakeMessage(10, "ABCDEFGHIJ"));
   SnapshotAssembler assembler;
-  SUBCASE("one in the middle is missing") {
+  SUBCASE("a part in the middle is missing") {
     assembler.Add(1, parts[0]);
     CHECK_FALSE(assembler.Add(1, parts[2]).has_value());
   }
-  SUBCASE("the next one is of another snapshot") {
+  SUBCASE("the next part belongs to another snapshot") {
     assembler.Add(1, old_parts[0]);
     assembler.Add(1, parts[1]);
     CHECK_FALSE(assembler.Add(1, parts[2]).has_value());
   }
-  SUBCASE("two senders at once") {
+  SUBCASE("two senders send at the same time") {
     assembler.Add(1, parts[0]);
     assembler.Add(2, parts[0]);
     assembler.Add(1, parts[1]);
     CHECK_FALSE(assembler.Add(2, parts[2]).has_value());
     CHECK(assembler.Add(1, parts[2]).has_value());
   }
-  // A new start gets through after each.
+  // In each case a transfer that starts again succeeds.
   assembler.Add(1, parts[0]);
   assembler.Add(1, parts[1]);
-  const auto whole = assembler.Add(1, parts[2]);
-  REQUIRE(whole.has_value());
-  CHECK(whole->snapshot->data == "ABCDEFGHIJ");
+  const auto complete = assembler.Add(1, parts[2]);
+  REQUIRE(complete.has_value());
+  CHECK(complete->snapshot->data == "ABCDEFGHIJ");
 }
 
 }  // namespace
