--- a/source/common/control/api_call.h
+++ b/source/common/control/api_call.h
@@ -1,5 +1,6 @@
-// A call of the resource API, apart from the HTTP server that took it: it may
-// be answered by this control machine or passed on to the leader.
+// A call of the resource API, independent of the HTTP server that received it.
+// The receiving control node answers the call itself or forwards it to the
+// leader.
 #pragma once
 
 #include <functional>
@@ -10,15 +11,17 @@
 
 namespace juniperway::control {
 
+// One call: a value that its receiver owns.
 struct ApiCall {
   std::string method;
   std::string path;
   std::map<std::string, std::string> parameters;
-  // X-Change-Id; of a call that changes something never empty.
+  // Value of the X-Change-Id header. Never empty for a call that changes state.
   std::string change_id;
   std::string body;
 };
 
+// Receives the answer to a call.
 using ApiCallback = std::function<void(net::HttpResponse)>;
 
 }  // namespace juniperway::control
--- a/source/common/control/api_server.cc
+++ b/source/common/control/api_server.cc
@@ -20,10 +20,10 @@
 
 constexpr int kStatusOk = 200;
 constexpr std::size_t kMaximumChangeIdLength = 128;
-// The longest a watch may stay open.
 constexpr std::uint64_t kMaximumWatchMilliseconds = 60000;
 constexpr std::uint64_t kDefaultWatchMilliseconds = 30000;
-// A status call must say soon that there is no leader.
+// Short, because operators call /v1/status to find out whether there is a
+// leader.
 constexpr Duration kStatusTimeout = milliseconds(800);
 constexpr std::string_view kBearer = "Bearer ";
 
@@ -43,13 +43,14 @@
                              [](char c) { return c > ' ' && c < '\x7f'; });
 }
 
-// A whole number given as a parameter; the error names the parameter.
+// Parses a query parameter as an unsigned number; the error names the
+// parameter.
 Result<std::uint64_t> NumberParameter(const ApiCall& call,
                                       const std::string& name,
-                                      std::uint64_t otherwise) {
+                                      std::uint64_t default_value) {
   auto parameter = call.parameters.find(name);
   if (parameter == call.parameters.end()) {
-    return otherwise;
+    return default_value;
   }
   const std::string& text = parameter->second;
   std::uint64_t number = 0;
@@ -116,7 +117,8 @@
     return true;
   }
   const std::string given = request.Header("authorization").value_or("");
-  // Takes as long for a wrong token as for the right one.
+  // The comparison takes constant time, so that its duration does not reveal
+  // how much of a wrong token is right.
   return given.starts_with(kBearer) &&
          given.size() == kBearer.size() + token.size() &&
          CRYPTO_memcmp(given.data() + kBearer.size(), token.data(),
@@ -132,11 +134,13 @@
   call.change_id = request.Header("x-change-id").value_or("");
   if (call.change_id.size() > kMaximumChangeIdLength ||
       !IsPrintable(call.change_id)) {
-    return MakeError(ErrorCode::kInvalidArgument, "X-Change-Id",
-                     "must be 1 to 128 printable characters without blanks");
+    return MakeError(
+        ErrorCode::kInvalidArgument, "X-Change-Id",
+        "must have 1 to 128 printable ASCII characters and no spaces");
   }
   if (call.change_id.empty() && call.method != "GET") {
-    // The caller cannot resend it, but this machine may have to.
+    // A client without a change id cannot safely send the call again, but this
+    // node may have to when it retries at a new leader.
     call.change_id = fmt::format("made-{:016x}{:016x}", random_(), random_());
   }
   return call;
--- a/source/common/control/api_server.h
+++ b/source/common/control/api_server.h
@@ -1,6 +1,6 @@
-// The HTTP side of the resource API on one control machine: checks the bearer
-// token, answers what this machine may answer on its own (local reads, watches,
-// the backup) and passes the rest on to the leader.
+// The HTTP server of the resource API on one control node. It checks the bearer
+// token, answers the calls that need no leader (local reads, watches, backups)
+// and forwards all others to the leader.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -17,25 +17,32 @@
 
 namespace juniperway::control {
 
+// Owned by ControlNode. Runs on the thread of its io_context.
 class ApiServer {
  public:
   struct Options {
     asio::ip::tcp::endpoint listen;
-    // Empty: served on the loopback interface only.
+    // If empty, the server listens on the loopback interface only, unless
+    // `open` is set.
     std::string bearer_token;
-    // Serves `listen` although there is no token.
+    // Listens on `listen` even without a token.
     bool open = false;
+    // Bounds the wait for the leader's answer to a forwarded call.
     Duration call_timeout = seconds(5);
+    // Seed of the generated change ids.
     std::uint64_t seed = 0;
   };
   struct Ports {
+    // The state that was committed on this node.
     std::function<const ControlState&()> state;
-    // Brings a call to the leader; answers with its answer, 503 or 504.
+    // Forwards a call to the leader and passes on the leader's answer, or 503
+    // or 504.
     std::function<void(ApiCall, MonotonicTime deadline, ApiCallback)> call;
+    // Answers a read from this node's state, which may lag behind the leader's.
     std::function<net::HttpResponse(const ApiCall&)> read_locally;
-    // What this machine knows of itself, for /v1/status.
+    // This node's own fields of /v1/status.
     std::function<nlohmann::json()> describe_node;
-    // Content of a backup file.
+    // Creates the content of a backup file.
     std::function<Result<std::string>()> backup;
   };
 
@@ -45,10 +52,12 @@
   asio::ip::tcp::endpoint local_endpoint() const {
     return server_.local_endpoint();
   }
-  // The state's revision grew.
+  // To be called when the state's revision has grown.
   void OnStateChanged() { watches_.OnStateChanged(); }
+  // Answers watches whose deadline has passed. To be called a few times a
+  // second.
   void Tick(MonotonicTime now) { watches_.Tick(now); }
-  // Accepts no new connection; calls under way may still be answered.
+  // Accepts no new connections; calls in flight may still be answered.
   void StopAccepting() { server_.StopAccepting(); }
   void Close();
 
@@ -65,7 +74,7 @@
   Ports ports_;
   std::mt19937_64 random_;
   WatchList watches_;
-  // Last: its handler uses the rest.
+  // Declared last, because its handler uses the other members.
   net::HttpServer server_;
 };
 
--- a/source/common/control/discovery_page.cc
+++ b/source/common/control/discovery_page.cc
@@ -13,31 +13,35 @@
 
 using nlohmann::json;
 
-constexpr const char* kList = "backends";
-constexpr const char* kNextPage = "next_page";
-// More requests at a time than any machine works on.
+constexpr const char* kBackendsField = "backends";
+constexpr const char* kNextPageField = "next_page";
+// Far above the number of requests that any backend runs at a time.
 constexpr std::uint64_t kMaximumSlots = 1'000'000;
-// A start that lies further ahead is no time of a start. Clocks of machines
+// A start time further in the future than this is invalid. Clocks of machines
 // differ by seconds.
 constexpr Duration kClockTolerance = seconds(60);
 
-// The elements of the page's list, as text, and the page without them.
-struct CutPage {
+// A page split into the texts of the list's elements and the JSON text around
+// them (`frame`, in which the list is empty).
+struct SplitPage {
   std::vector<std::string_view> elements;
   std::string frame;
 };
 
-// Finds the end of elements in a text, as far as quotes and brackets tell.
-class Cutter {
+// Splits a page into the elements of its list by quotes and brackets alone, so
+// that elements that are not valid JSON can be told from the others. Does not
+// own the text.
+class PageSplitter {
  public:
-  explicit Cutter(std::string_view text) : text_(text) {}
+  explicit PageSplitter(std::string_view text) : text_(text) {}
 
-  std::optional<CutPage> Cut() {
-    const std::size_t begin = FindList();
+  // @return nothing if the text has no list, or the list does not end.
+  std::optional<SplitPage> Split() {
+    const std::size_t begin = FindListStart();
     if (begin == std::string_view::npos) {
       return std::nullopt;
     }
-    CutPage page;
+    SplitPage page;
     std::size_t element = begin;
     int depth = 0;
     bool quoted = false;
@@ -66,9 +70,9 @@
   }
 
  private:
-  // @return where the list's first element begins.
-  std::size_t FindList() const {
-    const std::string name = std::string("\"") + kList + "\"";
+  // @return offset of the list's first element, or npos without a list.
+  std::size_t FindListStart() const {
+    const std::string name = std::string("\"") + kBackendsField + "\"";
     const std::size_t found = text_.find(name);
     if (found == std::string_view::npos) {
       return found;
@@ -91,27 +95,27 @@
   return json::parse(text, nullptr, /*allow_exceptions=*/false);
 }
 
-// A page that is no JSON as a whole may have one entry that is none: each is
-// then read by itself, and those that cannot be read are null.
+// Parses a page. One malformed entry can make the whole page invalid JSON; the
+// entries are then parsed one by one, and those that fail become null.
 json ReadEntries(std::string_view text) {
   json document = ParseJson(text);
   if (!document.is_discarded()) {
     return document;
   }
-  const auto cut = Cutter(text).Cut();
-  if (!cut) {
+  const auto split = PageSplitter(text).Split();
+  if (!split) {
     return document;
   }
-  document = ParseJson(cut->frame);
+  document = ParseJson(split->frame);
   if (!document.is_object()) {
     return document;
   }
   json entries = json::array();
-  for (const std::string_view element : cut->elements) {
+  for (const std::string_view element : split->elements) {
     json entry = ParseJson(element);
     entries.push_back(entry.is_discarded() ? json() : std::move(entry));
   }
-  document[kList] = std::move(entries);
+  document[kBackendsField] = std::move(entries);
   return document;
 }
 
@@ -158,7 +162,7 @@
   return (*field)->get<std::uint32_t>();
 }
 
-tl::expected<bool, EntryFault> ReadCold(const json& entry) {
+tl::expected<bool, EntryFault> ReadIsCold(const json& entry) {
   const FieldResult field = FindField(entry, "warmup_left_ms");
   if (!field) {
     return tl::unexpected(field.error());
@@ -169,7 +173,7 @@
   return (*field)->get<double>() > 0;
 }
 
-tl::expected<bool, EntryFault> ReadLeaving(const json& entry) {
+tl::expected<bool, EntryFault> ReadIsLeaving(const json& entry) {
   const auto state = ReadText(entry, "state");
   if (!state) {
     return tl::unexpected(state.error());
@@ -193,14 +197,15 @@
   return address;
 }
 
-// @return nothing when what the entry says is no time at which it can have
-//   started. A start that is not given is the zero time.
+// @return nothing if the entry's start time is invalid; the zero time if the
+//   entry has none.
 std::optional<WallTime> ReadStart(const json& entry, WallTime now) {
   const auto field = entry.find("born");
   if (field == entry.end() || field->is_null()) {
     return WallTime{};
   }
-  // As a signed number: comparisons with far larger ones stay right.
+  // Unsigned like the JSON number, so that the comparison is also right for
+  // numbers above the signed range.
   const auto latest = static_cast<std::uint64_t>(
       ToMilliseconds((now + kClockTolerance).time_since_epoch()));
   const bool fits = field->is_number_unsigned() &&
@@ -220,21 +225,21 @@
   }
   session::DiscoveredBackend backend;
   std::optional<EntryFault> fault;
-  const auto take = [&fault](auto result, auto& target) {
+  const auto store = [&fault](auto result, auto& target) {
     if (result) {
       target = std::move(*result);
     } else if (!fault) {
       fault = result.error();
     }
   };
-  take(ReadText(entry, "id"), backend.id);
-  take(ReadText(entry, "service"), backend.service);
-  take(ReadText(entry, "zone"), backend.zone);
-  take(ReadText(entry, "version"), backend.version);
-  take(ReadAddress(entry), backend.address);
-  take(ReadSlots(entry), backend.slots);
-  take(ReadLeaving(entry), backend.draining);
-  take(ReadCold(entry), backend.cold);
+  store(ReadText(entry, "id"), backend.id);
+  store(ReadText(entry, "service"), backend.service);
+  store(ReadText(entry, "zone"), backend.zone);
+  store(ReadText(entry, "version"), backend.version);
+  store(ReadAddress(entry), backend.address);
+  store(ReadSlots(entry), backend.slots);
+  store(ReadIsLeaving(entry), backend.draining);
+  store(ReadIsCold(entry), backend.cold);
   if (fault) {
     return tl::unexpected(*fault);
   }
@@ -267,20 +272,21 @@
 
 Result<DiscoveryPage> ParseDiscoveryPage(std::string_view text, WallTime now) {
   const json document = ReadEntries(text);
-  if (!document.is_object() || !document.contains(kList) ||
-      !document[kList].is_array()) {
-    return MakeError(ErrorCode::kInvalidArgument, kList, "must be a list");
+  if (!document.is_object() || !document.contains(kBackendsField) ||
+      !document[kBackendsField].is_array()) {
+    return MakeError(ErrorCode::kInvalidArgument, kBackendsField,
+                     "must be a list");
   }
   DiscoveryPage page;
-  const auto next = document.find(kNextPage);
+  const auto next = document.find(kNextPageField);
   if (next != document.end() && !next->is_null()) {
     if (!next->is_string()) {
-      return MakeError(ErrorCode::kInvalidArgument, kNextPage,
-                       "must be a text or null");
+      return MakeError(ErrorCode::kInvalidArgument, kNextPageField,
+                       "must be a string or null");
     }
     page.next_page = next->get<std::string>();
   }
-  for (const json& element : document[kList]) {
+  for (const json& element : document[kBackendsField]) {
     EntryResult backend = ReadEntry(element);
     if (!backend) {
       ++page.faults[backend.error()];
@@ -304,14 +310,14 @@
     faults[fault] += entries;
   }
   list.merge(page.backends);
-  // What was not taken over was there already.
+  // merge() leaves behind the entries whose ids are already in the list.
   if (!page.backends.empty()) {
     faults[EntryFault::kDuplicateId] += page.backends.size();
   }
 }
 
-WallTime ReconcileStart(WallTime held, WallTime listed) {
-  return std::max(held, listed);
+WallTime ReconcileStart(WallTime known, WallTime listed) {
+  return std::max(known, listed);
 }
 
 }  // namespace juniperway::control
--- a/source/common/control/discovery_page.h
+++ b/source/common/control/discovery_page.h
@@ -1,6 +1,7 @@
-// One page of the platform's discovery list. Other programs may write to the
-// list too: an entry that does not have all fields, each of its type, names no
-// back end to use, and the other entries of the page hold. Pure.
+// Parses pages of the platform's discovery list. Programs other than the
+// platform may write to the list too, so one entry may be malformed: the parser
+// skips an entry with a missing or mistyped field and keeps the other entries
+// of the page. Pure functions without state.
 #pragma once
 
 #include <array>
@@ -15,51 +16,55 @@
 
 namespace juniperway::control {
 
-// Back ends by id.
+// Backends by id.
 using DiscoveryList = std::map<std::string, session::DiscoveredBackend>;
 
-// Why an entry of the list is passed over or, of kUnusableStart, a field of it.
+// Why the parser skips an entry or, for kUnusableStart, ignores one field of
+// it.
 enum class EntryFault {
-  kUnreadable,     // No JSON object.
+  kUnreadable,     // Is not a JSON object.
   kMissingField,   // A field is missing, or empty.
-  kWrongType,      // A field is of another type.
-  kUnknownState,   // Neither live nor leaving.
-  kBadAddress,     // Not "ip:port".
-  kBadNumber,      // Out of any sensible range.
-  kDuplicateId,    // An entry before it has the same id.
-  kUnusableStart,  // When it started is no time, or one to come. It is taken.
+  kWrongType,      // A field has the wrong type.
+  kUnknownState,   // Is neither live nor leaving.
+  kBadAddress,     // Is not a usable "ip:port".
+  kBadNumber,      // A number is out of range.
+  kDuplicateId,    // An earlier entry has the same id.
+  kUnusableStart,  // The start time is invalid or in the future.
 };
 inline constexpr std::array kEntryFaults = {
     EntryFault::kUnreadable,  EntryFault::kMissingField,
     EntryFault::kWrongType,   EntryFault::kUnknownState,
     EntryFault::kBadAddress,  EntryFault::kBadNumber,
     EntryFault::kDuplicateId, EntryFault::kUnusableStart};
+// The fault's name in logs and metrics.
 const char* NameOf(EntryFault fault);
 
-// How many entries had each fault.
+// Number of entries with each fault.
 using EntryFaults = std::map<EntryFault, std::size_t>;
 
+// The result of parsing one page; owned by the caller.
 struct DiscoveryPage {
   DiscoveryList backends;
   EntryFaults faults;
-  // Names the page that follows; empty: this is the last.
+  // Token of the next page; empty on the last page.
   std::string next_page;
 };
 
 // Parses {"backends": [{"id", "service", "address", "zone", "version", "slots",
 // "state": "live" | "leaving", "warmup_left_ms", "born"}], "next_page": "…" |
-// null}. All fields but "born" are required. A back end with time left to warm
-// up is cold. "born" is the Unix millisecond of its start.
-// @return kInvalidArgument when the page as a whole cannot be read, for
-//   example because it was cut short.
+// null}. All fields except "born" are required. A backend is cold while its
+// "warmup_left_ms" is above 0. "born" is its start time in Unix milliseconds.
+// @return kInvalidArgument if the page as a whole cannot be parsed, for example
+//   because it is truncated.
 Result<DiscoveryPage> ParseDiscoveryPage(std::string_view text, WallTime now);
 
-// Adds a page to what a reading has collected. Of two entries with the same id
-// the first one holds.
+// Merges a page into the entries of the pages before it. The first of two
+// entries with the same id is kept.
 void AddPage(DiscoveryPage page, DiscoveryList& list, EntryFaults& faults);
 
-// When the back end started, from what is held and what the list says now: a
-// start that is missing, or that lies before the one known, changes nothing.
-WallTime ReconcileStart(WallTime held, WallTime listed);
+// Combines the known start time of a backend with the one that the list now
+// gives. A listed start time that is missing (zero) or earlier than the known
+// one is ignored.
+WallTime ReconcileStart(WallTime known, WallTime listed);
 
 }  // namespace juniperway::control
--- a/source/common/control/discovery_poller.cc
+++ b/source/common/control/discovery_poller.cc
@@ -9,12 +9,13 @@
 namespace {
 
 constexpr Duration kCallTimeout = seconds(1);
-// How often a machine that does not lead looks whether it does now.
+// Interval at which a node that is not the leader checks whether it has become
+// the leader.
 constexpr Duration kIdleInterval = milliseconds(100);
 constexpr Duration kRetryDelay = milliseconds(300);
 constexpr int kStatusOk = 200;
-// Share of the platform's rate that one reader uses.
-constexpr double kRateShare = 0.5;
+// Share of the platform's rate limit that the poller uses.
+constexpr double kPlatformRateShare = 0.5;
 
 }  // namespace
 
@@ -29,7 +30,7 @@
 
 void DiscoveryPoller::Start() { ScheduleNext(Duration(0)); }
 
-void DiscoveryPoller::Begin() {
+void DiscoveryPoller::StartPoll() {
   if (!ports_.is_leading()) {
     ScheduleNext(kIdleInterval);
     return;
@@ -37,11 +38,11 @@
   collected_.clear();
   faults_.clear();
   pages_ = 0;
-  began_ = ReadMonotonicClock();
-  Read("");
+  poll_start_ = ReadMonotonicClock();
+  RequestPage("");
 }
 
-void DiscoveryPoller::Read(const std::string& page) {
+void DiscoveryPoller::RequestPage(const std::string& page) {
   net::HttpClientRequest request;
   request.url = options_.url;
   if (!page.empty()) {
@@ -60,44 +61,46 @@
 void DiscoveryPoller::OnAnswer(const net::HttpClientResponse& response) {
   if (response.progress != net::HttpProgress::kAnswered ||
       response.status != kStatusOk) {
-    Fail("status " + std::to_string(response.status) + " " +
-         response.transport_error);
+    OnFailure("status " + std::to_string(response.status) + " " +
+              response.transport_error);
     return;
   }
   auto page = ParseDiscoveryPage(response.body, ReadWallClock());
   if (!page) {
-    Fail(FormatError(page.error()));
+    OnFailure(FormatError(page.error()));
     return;
   }
   const std::string next_page = page->next_page;
   AddPage(std::move(*page), collected_, faults_);
   if (!next_page.empty()) {
-    Read(next_page);
+    RequestPage(next_page);
     return;
   }
   failing_ = false;
-  NoteFaults();
+  ReportFaults();
   ports_.on_list(collected_);
-  const auto slowest = std::chrono::duration_cast<Duration>(
-      std::chrono::duration<double>(static_cast<double>(pages_) /
-                                    (kRateShare * options_.calls_per_second)));
-  const MonotonicTime next = began_ + std::max(options_.interval, slowest);
+  const auto minimum_interval =
+      std::chrono::duration_cast<Duration>(std::chrono::duration<double>(
+          static_cast<double>(pages_) /
+          (kPlatformRateShare * options_.calls_per_second)));
+  const MonotonicTime next =
+      poll_start_ + std::max(options_.interval, minimum_interval);
   ScheduleNext(std::max(Duration(next - ReadMonotonicClock()), Duration(0)));
 }
 
-void DiscoveryPoller::NoteFaults() {
+void DiscoveryPoller::ReportFaults() {
   for (const auto& [fault, entries] : faults_) {
-    const auto noted = noted_faults_.find(fault);
-    if (noted == noted_faults_.end() || noted->second != entries) {
+    const auto logged = logged_faults_.find(fault);
+    if (logged == logged_faults_.end() || logged->second != entries) {
       logging::LogEvent(kDiscoveryEntriesFaulty,
                         {{"reason", NameOf(fault)}, {"entries", entries}});
     }
   }
-  noted_faults_ = faults_;
+  logged_faults_ = faults_;
   ports_.on_faults(faults_);
 }
 
-void DiscoveryPoller::Fail(const std::string& reason) {
+void DiscoveryPoller::OnFailure(const std::string& reason) {
   if (!failing_) {
     logging::LogEvent(kDiscoveryFailed,
                       {{"url", options_.url}, {"reason", reason}});
@@ -110,7 +113,7 @@
   timer_.expires_after(delay);
   timer_.async_wait([this, alive = alive_](const asio::error_code& error) {
     if (!error && *alive) {
-      Begin();
+      StartPoll();
     }
   });
 }
--- a/source/common/control/discovery_poller.h
+++ b/source/common/control/discovery_poller.h
@@ -1,6 +1,7 @@
-// Reads the platform's discovery list: the back ends that HTTP forwarding may
-// use. Only the leader reads it, so that the whole fleet makes the calls of one
-// reader. The list comes in pages and lags.
+// Polls the platform's discovery list: the backends that HTTP forwarding may
+// use. Only the leader polls the list, so the platform's load does not grow
+// with the number of control nodes. The platform sends the list in pages and
+// updates it with a delay.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -15,21 +16,23 @@
 
 namespace juniperway::control {
 
+// Owned by ControlNode. Runs on the thread of its io_context.
 class DiscoveryPoller {
  public:
   struct Options {
     std::string url;  // "http://10.0.0.9:9000/v1/backends"
-    // Between the starts of two readings of the whole list.
+    // Between the starts of two polls of the whole list.
     Duration interval = seconds(1);
-    // Calls a second that the platform takes; a reading of many pages is
-    // stretched to stay under half of it.
+    // Rate limit of the platform, in calls per second. The poller uses at most
+    // half of it and waits longer after a poll of many pages.
     double calls_per_second = 50;
   };
   struct Ports {
-    // Only then the list is read.
+    // Whether this node is the leader; the poller calls the platform only then.
     std::function<bool()> is_leading;
+    // Receives the whole list after each poll.
     std::function<void(const DiscoveryList&)> on_list;
-    // After each reading: how many entries had which fault.
+    // Receives the numbers of faulty entries after each poll.
     std::function<void(const EntryFaults&)> on_faults;
   };
 
@@ -41,27 +44,31 @@
   void Start();
 
  private:
-  void Begin();
-  void Read(const std::string& page);
+  void StartPoll();
+  // @param page token of the page; empty for the first.
+  void RequestPage(const std::string& page);
   void OnAnswer(const net::HttpClientResponse& response);
-  void Fail(const std::string& reason);
-  // Says which faults the reading found, where that has changed.
-  void NoteFaults();
+  void OnFailure(const std::string& reason);
+  // Logs the faults whose number differs from the last poll's, and passes all
+  // numbers on.
+  void ReportFaults();
   void ScheduleNext(Duration delay);
 
   Options options_;
   Ports ports_;
   net::HttpClient client_;
   asio::steady_timer timer_;
-  // The pages of the reading under way.
+  // Entries, faults and number of the pages of the current poll.
   DiscoveryList collected_;
   EntryFaults faults_;
-  // Those that the log has told of.
-  EntryFaults noted_faults_;
+  // Numbers that were logged last.
+  EntryFaults logged_faults_;
   std::size_t pages_ = 0;
-  MonotonicTime began_;
-  // The last reading failed: the failure was logged.
+  MonotonicTime poll_start_;
+  // Whether the last poll failed; only the first of successive failures is
+  // logged.
   bool failing_ = false;
+  // False once this object is destroyed, for callbacks that run later.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/source/common/control/observation_exchange.cc
+++ b/source/common/control/observation_exchange.cc
@@ -27,7 +27,7 @@
 }
 
 void ObservationExchange::ScheduleRelay() {
-  if (stopped_ || !relay_.has_news() || std::exchange(scheduled_, true)) {
+  if (stopped_ || !relay_.has_news() || std::exchange(relay_scheduled_, true)) {
     return;
   }
   timer_.expires_after(observation::kRelayInterval);
@@ -39,10 +39,10 @@
 }
 
 void ObservationExchange::Relay() {
-  scheduled_ = false;
-  const auto for_machines = relay_.TakeForMachines();
-  if (!for_machines.empty()) {
-    ports_.to_machines(for_machines);
+  relay_scheduled_ = false;
+  const auto for_control_nodes = relay_.TakeForMachines();
+  if (!for_control_nodes.empty()) {
+    ports_.to_machines(for_control_nodes);
   }
   const auto for_daemons = relay_.TakeForDaemons();
   if (!for_daemons.empty()) {
--- a/source/common/control/observation_exchange.h
+++ b/source/common/control/observation_exchange.h
@@ -1,6 +1,7 @@
-// Passes on what routers see of back ends, between the daemons of this machine
-// and the other control machines: the shell round
-// observation::ObservationRelay.
+// Relays the routers' observations of backends between the daemons that have a
+// session with this control node and the other control nodes. This class adds
+// timers and sending to observation::ObservationRelay, which decides what to
+// relay.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -12,14 +13,15 @@
 
 namespace juniperway::control {
 
+// Owned by ControlNode. Runs on the thread of its io_context.
 class ObservationExchange {
  public:
   using Send =
       std::function<void(const observation::BackendObservations& observations)>;
   struct Ports {
-    // To each of the other control machines.
+    // Sends to every other control node.
     Send to_machines;
-    // To each router with a session here.
+    // Sends to every router with a session on this node.
     Send to_daemons;
   };
 
@@ -28,10 +30,11 @@
   ObservationExchange(const ObservationExchange&) = delete;
   ObservationExchange& operator=(const ObservationExchange&) = delete;
 
-  // From a daemon with a session here.
+  // Takes the report of a daemon with a session on this node.
   void OnReport(const observation::BackendObservations& observations);
-  // From another control machine.
+  // Takes the digest of another control node.
   void OnDigest(const observation::BackendObservations& observations);
+  // Relays nothing more.
   void Stop();
 
  private:
@@ -41,9 +44,9 @@
   Ports ports_;
   observation::ObservationRelay relay_;
   asio::steady_timer timer_;
-  bool scheduled_ = false;
+  bool relay_scheduled_ = false;
   bool stopped_ = false;
-  // A timer that has fired before this object goes finds it gone.
+  // False once this object is destroyed, for timer callbacks that run later.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/source/common/control/platform_poller.cc
+++ b/source/common/control/platform_poller.cc
@@ -15,13 +15,13 @@
 
 Result<PlatformList> ParsePlatformList(std::string_view text) {
   const auto json = nlohmann::json::parse(text, nullptr, false);
-  const auto fault = [](std::string field, std::string message) {
+  const auto invalid = [](std::string field, std::string message) {
     return MakeError(ErrorCode::kInvalidArgument, std::move(field),
                      std::move(message));
   };
   if (!json.is_object() || !json.contains("machines") ||
       !json["machines"].is_array()) {
-    return fault("machines", "must be a list");
+    return invalid("machines", "must be a list");
   }
   PlatformList list;
   for (const auto& machine : json["machines"]) {
@@ -30,7 +30,8 @@
                        machine.contains("state") &&
                        machine["state"].is_string();
     if (!valid) {
-      return fault("machines[]", "needs a name and a state");
+      return invalid("machines[]",
+                     "must be an object with the strings name and state");
     }
     const auto name = machine["name"].get<std::string>();
     list.present.insert(name);
@@ -42,10 +43,10 @@
 }
 
 std::set<std::string> MergePlatformLeaving(
-    const PlatformList& list, const std::set<std::string>& held,
+    const PlatformList& list, const std::set<std::string>& previously_leaving,
     const std::function<bool(const std::string&)>& in_use) {
   std::set<std::string> leaving = list.leaving;
-  for (const std::string& name : held) {
+  for (const std::string& name : previously_leaving) {
     if (!list.present.contains(name) && in_use(name)) {
       leaving.insert(name);
     }
--- a/source/common/control/platform_poller.h
+++ b/source/common/control/platform_poller.h
@@ -1,6 +1,6 @@
 // Polls the platform's list of live and leaving machines. The list lags and may
-// mislead: only "leaving" is taken from it, and it never decides that a machine
-// is dead or alive; leases do.
+// be wrong, so the control group uses only its "leaving" state. Leases, not
+// this list, decide whether a daemon is alive.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -18,25 +18,30 @@
 
 namespace juniperway::control {
 
-// One reading of the list: which names are on it, and which are leaving.
+// The list as one poll returned it: all names, and those that are leaving.
 struct PlatformList {
   std::set<std::string> present;
   std::set<std::string> leaving;
 };
 
 // Parses {"machines": [{"name": "…", "state": "live" | "leaving"}]}.
+// @return kInvalidArgument if any entry is invalid.
 Result<PlatformList> ParsePlatformList(std::string_view text);
 
-// The names to hold as leaving after a reading: those it calls leaving, and
-// those that were leaving and have dropped off the list while still in use.
+// Returns the names that are leaving after a poll: those that the list calls
+// leaving, and those of `previously_leaving`, the names that were leaving
+// before the poll, that are no longer on the list but still in use.
 std::set<std::string> MergePlatformLeaving(
-    const PlatformList& list, const std::set<std::string>& held,
+    const PlatformList& list, const std::set<std::string>& previously_leaving,
     const std::function<bool(const std::string&)>& in_use);
 
+// Owned by ControlNode. Runs on the thread of its io_context.
 class PlatformPoller {
  public:
   using Listener = std::function<void(const PlatformList&)>;
 
+  // @param interval delay between the end of a poll and the next.
+  // @param listener receives every valid list.
   PlatformPoller(asio::io_context& context, std::string url, Duration interval,
                  Listener listener);
   ~PlatformPoller();
@@ -55,8 +60,10 @@
   Listener listener_;
   net::HttpClient client_;
   asio::steady_timer timer_;
-  // The last poll failed: the failure was logged.
+  // Whether the last poll failed; only the first of successive failures is
+  // logged.
   bool failing_ = false;
+  // False once this object is destroyed, for callbacks that run later.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/source/common/control/resource_api.cc
+++ b/source/common/control/resource_api.cc
@@ -27,8 +27,9 @@
 constexpr int kStatusOk = 200;
 constexpr int kStatusAccepted = 202;
 constexpr int kStatusUnavailable = 503;
-// Names of lagging daemons in one answer; the count is always whole.
-constexpr std::size_t kMaximumNames = 100;
+// Bounds the names of lagging daemons in one answer; the counts in the answer
+// include all daemons.
+constexpr std::size_t kMaximumListedNames = 100;
 constexpr const char* kRouteTablePath = "/v1/route-table";
 constexpr const char* kEvacuationsPath = "/v1/evacuations";
 constexpr const char* kCrashingRequestsPath = "/v1/crashing-requests";
@@ -38,13 +39,13 @@
   std::uint64_t number = 0;
   const char* end = text.data() + text.size();
   const auto parsed = std::from_chars(text.data(), end, number);
-  const bool whole = parsed.ec == std::errc() && parsed.ptr == end;
-  return whole ? std::optional(number) : std::nullopt;
+  const bool is_number = parsed.ec == std::errc() && parsed.ptr == end;
+  return is_number ? std::optional(number) : std::nullopt;
 }
 
-net::HttpResponse NoSuchCall() {
-  return FailureResponse(
-      {ErrorCode::kNotFound, "path", "there is no such call"});
+net::HttpResponse UnknownCallResponse() {
+  return FailureResponse({ErrorCode::kNotFound, "path",
+                          "names no call of the API with this method"});
 }
 
 // "/v1/evacuations/ZONE".
@@ -57,8 +58,8 @@
   return parts.size() == 3 && parts[1] == "crashing-requests";
 }
 
-json FirstNames(const std::vector<std::string>& names) {
-  const std::size_t count = std::min(names.size(), kMaximumNames);
+json ListNames(const std::vector<std::string>& names) {
+  const std::size_t count = std::min(names.size(), kMaximumListedNames);
   return json(std::vector<std::string>(
       names.begin(), names.begin() + static_cast<std::ptrdiff_t>(count)));
 }
@@ -101,7 +102,7 @@
 net::HttpResponse JsonResponse(int status, const json& body) {
   net::HttpResponse response;
   response.status = status;
-  // Daemons name themselves, and their names need not be UTF-8.
+  // Replaces invalid UTF-8: daemons choose their own names, in any encoding.
   response.body =
       body.dump(-1, ' ', false, json::error_handler_t::replace) + "\n";
   return response;
@@ -125,7 +126,7 @@
   if (!ports_.is_leading()) {
     answer(net::ErrorResponse(
         kStatusUnavailable,
-        {ErrorCode::kUnavailable, "", "this machine does not lead"},
+        {ErrorCode::kUnavailable, "", "this control node is not the leader"},
         "not-run"));
     return;
   }
@@ -155,7 +156,7 @@
              parts[1] == "members") {
     answer(RemoveMember(parts[2]));
   } else {
-    answer(NoSuchCall());
+    answer(UnknownCallResponse());
   }
 }
 
@@ -194,7 +195,7 @@
   if (parts.size() == 3 && parts[1] == "changes") {
     return GetChange(parts[2]);
   }
-  return NoSuchCall();
+  return UnknownCallResponse();
 }
 
 net::HttpResponse ResourceApi::List(const std::string& kind) const {
@@ -273,7 +274,7 @@
   const auto* change = ports_.state().FindChange(change_id);
   if (change == nullptr) {
     return FailureResponse(
-        {ErrorCode::kNotFound, "change_id", "is not known (any more)"});
+        {ErrorCode::kNotFound, "change_id", "is unknown or no longer kept"});
   }
   json body = {{"change_id", change_id}, {"revision", change->revision}};
   if (change->error) {
@@ -290,8 +291,8 @@
       leases.in_force() >= change->revision ? "in_force" : "accepted";
   body["daemons"] = progress.daemons;
   body["confirmed"] = progress.confirmed;
-  body["waiting_for"] = FirstNames(progress.waiting_for);
-  body["without_lease"] = FirstNames(progress.without_lease);
+  body["waiting_for"] = ListNames(progress.waiting_for);
+  body["without_lease"] = ListNames(progress.without_lease);
   return JsonResponse(kStatusOk, body);
 }
 
@@ -300,7 +301,8 @@
   const LeaseTable& leases = ports_.leases();
   json members = json::array();
   bool lost_data = false;
-  // The leader tracks the others' progress; its own row is added.
+  // The raft progress covers the other members only, so the leader's own entry
+  // is added here.
   for (const raft::Member& member : status.configuration.voters) {
     if (member.id == status.id) {
       members.push_back(MemberToJson({.member = member,
@@ -314,7 +316,8 @@
     members.push_back(MemberToJson(progress));
     lost_data = lost_data || progress.regressed;
   }
-  // "Repaired": another machine may be lost now.
+  // The group is repaired when it can lose another member without losing data
+  // or quorum.
   const bool repaired = status.tolerated_losses >= 1 &&
                         status.configuration.learners.empty() && !lost_data;
   const RevisionProgress progress =
@@ -327,7 +330,7 @@
                        {"revision", ports_.state().revision()},
                        {"in_force_revision", leases.in_force()},
                        {"daemons", progress.daemons},
-                       {"without_lease", FirstNames(progress.without_lease)},
+                       {"without_lease", ListNames(progress.without_lease)},
                        {"claims", ports_.state().claims().size()}});
 }
 
@@ -378,9 +381,9 @@
 
 namespace {
 
-// The answer to a change, from its outcome in the state machine.
-net::HttpResponse ChangeAnswer(const std::string& change_id,
-                               const protocol::OperationResultT& result) {
+// Makes the answer to a change from its result in the replicated state machine.
+net::HttpResponse ChangeResponse(const std::string& change_id,
+                                 const protocol::OperationResultT& result) {
   json items = json::array();
   for (const auto& record : result.resources) {
     if (auto resource = session::DecodeResource(*record)) {
@@ -415,7 +418,8 @@
   ports_.submit(std::move(operations), [answer, change_id = call.change_id](
                                            Result<OperationResults> results) {
     if (!results) {
-      // The caller's machine sends it again: the change id makes it safe.
+      // The control node that forwarded the call sends it again, which the
+      // change id makes safe.
       answer(net::ErrorResponse(kStatusUnavailable, results.error(),
                                 "may-have-run"));
       return;
@@ -432,7 +436,7 @@
                                           {"revision", result.revision},
                                           {"resent", result.resent}});
     }
-    answer(ChangeAnswer(change_id, result));
+    answer(ChangeResponse(change_id, result));
   });
 }
 
@@ -442,7 +446,7 @@
   const StoredRouteTable& table = ports_.state().fleet().route_table;
   if (table.version == 0) {
     return FailureResponse(
-        {ErrorCode::kNotFound, "", "no route table was written yet"});
+        {ErrorCode::kNotFound, "", "no route table has been stored yet"});
   }
   auto text = Decompress(table.content);
   if (!text) {
@@ -470,7 +474,7 @@
   Submit(session::MakeOperation(std::move(operation)), call, answer);
 }
 
-// --- Control machines --------------------------------------------------------
+// --- Control nodes -----------------------------------------------------------
 
 namespace {
 
@@ -513,8 +517,8 @@
 net::HttpResponse ResourceApi::RemoveMember(const std::string& id) const {
   const auto node = ParseNumber(id);
   if (!node || *node == raft::kNoNode) {
-    return FailureResponse(
-        {ErrorCode::kInvalidArgument, "id", "must be a node id above 0"});
+    return FailureResponse({ErrorCode::kInvalidArgument, "id",
+                            "must be a node id, a whole number above 0"});
   }
   if (auto removed = ports_.remove_member(*node); !removed) {
     return FailureResponse(removed.error());
--- a/source/common/control/resource_api.h
+++ b/source/common/control/resource_api.h
@@ -1,6 +1,7 @@
-// The leader's side of the resource API: reads the committed state, turns
-// changes into operations, and says how far a change has come. Calls arrive
-// from the HTTP server of this machine or passed on by another one.
+// Handles the calls of the resource API on the leader: reads the committed
+// state, submits changes as operations and reports the progress of changes.
+// Calls come from this control node's HTTP server or from another control node
+// that forwards them.
 #pragma once
 
 #include <functional>
@@ -16,28 +17,32 @@
 
 namespace juniperway::control {
 
+// Owned by ControlNode.
 class ResourceApi {
  public:
   struct Ports {
+    // The state that was committed on this node.
     std::function<const ControlState&()> state;
     std::function<const LeaseTable&()> leases;
     std::function<const rollout::RolloutJudge&()> rollouts;
-    // What a version that turns out bad in its roll-out may be sent.
+    // Bounds the requests that the fleet may send to bad canaries.
     rollout::ExposureLimit exposure;
     std::function<raft::Status()> raft_status;
-    // This machine leads and its reads are linearizable now.
+    // Whether this node is the leader and its reads are linearizable.
     std::function<bool()> is_leading;
+    // Replicates operations and passes on their results.
     std::function<void(Operations, CommandPipeline::Callback)> submit;
+    // Start a change of the consensus group's membership.
     std::function<Result<void>(const raft::Member&)> add_member;
     std::function<Result<void>(raft::NodeId)> remove_member;
   };
 
   explicit ResourceApi(Ports ports) : ports_(std::move(ports)) {}
 
-  // Answers a call that only the leader may answer; 503 while it cannot.
+  // Answers any call; 503 unless this node is the leader.
   void Handle(const ApiCall& call, const ApiCallback& answer) const;
 
-  // Answers a read from this machine's state, which may lag.
+  // Answers a read from this node's state, which may lag behind the leader's.
   net::HttpResponse ReadLocally(const ApiCall& call) const;
 
  private:
@@ -51,7 +56,7 @@
               const std::string& name, const ApiCallback& answer) const;
   net::HttpResponse GetRouteTable() const;
   void PutRouteTable(const ApiCall& call, const ApiCallback& answer) const;
-  // @param evacuated false: the order is withdrawn.
+  // @param evacuated false: ends the evacuation.
   void SetEvacuation(const ApiCall& call, const std::string& zone,
                      bool evacuated, const ApiCallback& answer) const;
   net::HttpResponse ListEvacuations() const;
@@ -63,13 +68,15 @@
   net::HttpResponse GetRollout(const std::string& service) const;
   nlohmann::json DescribeRollout(const std::string& service,
                                  const rollout::Rollout& rollout) const;
-  // Whether the route table or a discovered back end names it.
+  // Whether a discovered backend or the route table names the service.
   bool IsForwardedService(const std::string& service) const;
-  // Forgets what is held against a request; it may be sent again.
+  // Deletes the crash record of a request, so that routers may send the request
+  // again.
   void ReleaseRequest(const ApiCall& call, const std::string& fingerprint,
                       const ApiCallback& answer) const;
-  // Discovered back ends of a zone: 0 shows an operator that a name is wrong.
-  std::size_t BackendsIn(const std::string& zone) const;
+  // Counts the discovered backends of a zone. An operator who sees 0 can tell
+  // that the zone's name is wrong.
+  std::size_t CountBackendsIn(const std::string& zone) const;
   net::HttpResponse AddMember(const ApiCall& call) const;
   net::HttpResponse RemoveMember(const std::string& id) const;
   void Submit(protocol::OperationItemT operation, const ApiCall& call,
@@ -79,18 +86,22 @@
   Ports ports_;
 };
 
-// The parts of a path between slashes: "/v1/status" has two.
+// Splits a path at its slashes: "/v1/status" becomes "v1" and "status".
 std::vector<std::string> SplitPath(const std::string& path);
 
-// Tells a resend from another call that uses the same change id.
+// Hashes the content of a call, to tell a retry from a different call with the
+// same change id.
 std::uint64_t DigestOf(const ApiCall& call);
 
-// A fault of a whole body has no path in it.
+// Sets the field of an error that names none, because it concerns the whole
+// body, to "body".
 Error NameBody(Error error);
 
+// Encodes `body` as the body of an answer.
 net::HttpResponse JsonResponse(int status, const nlohmann::json& body);
 
-// The answer for a failed call, with the HTTP status of its code.
+// The answer to a call that failed without any effect, with the HTTP status of
+// the error's code.
 net::HttpResponse FailureResponse(const Error& error);
 
 }  // namespace juniperway::control
--- a/source/common/control/resource_api_orders.cc
+++ b/source/common/control/resource_api_orders.cc
@@ -1,5 +1,5 @@
-// The resource API's calls on zones that are evacuated and on requests under
-// which back ends ended.
+// The resource API's calls on zone evacuations and on requests that crashed
+// backends.
 #include <algorithm>
 #include <charconv>
 #include <nlohmann/json.hpp>
@@ -15,9 +15,9 @@
 using nlohmann::json;
 
 constexpr int kStatusOk = 200;
-constexpr std::size_t kLongestZoneName = 128;
+constexpr std::size_t kMaximumZoneNameBytes = 128;
 
-// As ToText writes it.
+// Parses the form that ToText writes.
 std::optional<RequestFingerprint> ParseFingerprint(const std::string& text) {
   constexpr std::size_t kDigits = 16;
   constexpr int kBase = 16;
@@ -25,9 +25,9 @@
   const char* end = text.data() + text.size();
   const auto parsed =
       std::from_chars(text.data(), end, fingerprint.value, kBase);
-  const bool whole = parsed.ec == std::errc() && parsed.ptr == end;
-  return whole && text.size() == kDigits ? std::optional(fingerprint)
-                                         : std::nullopt;
+  const bool is_number = parsed.ec == std::errc() && parsed.ptr == end;
+  return is_number && text.size() == kDigits ? std::optional(fingerprint)
+                                             : std::nullopt;
 }
 
 }  // namespace
@@ -37,9 +37,9 @@
 void ResourceApi::SetEvacuation(const ApiCall& call, const std::string& zone,
                                 bool evacuated,
                                 const ApiCallback& answer) const {
-  if (zone.size() > kLongestZoneName) {
+  if (zone.size() > kMaximumZoneNameBytes) {
     answer(FailureResponse(
-        {ErrorCode::kInvalidArgument, "zone", "has more than 128 characters"}));
+        {ErrorCode::kInvalidArgument, "zone", "must have at most 128 bytes"}));
     return;
   }
   protocol::SetZoneEvacuationT operation;
@@ -50,11 +50,11 @@
   logging::LogEvent(kEvacuationOrdered, {{"change", call.change_id},
                                          {"zone", zone},
                                          {"evacuated", evacuated},
-                                         {"backends", BackendsIn(zone)}});
+                                         {"backends", CountBackendsIn(zone)}});
   Submit(session::MakeOperation(std::move(operation)), call, answer);
 }
 
-std::size_t ResourceApi::BackendsIn(const std::string& zone) const {
+std::size_t ResourceApi::CountBackendsIn(const std::string& zone) const {
   return static_cast<std::size_t>(std::ranges::count_if(
       ports_.state().fleet().discovered,
       [&zone](const auto& entry) { return entry.second.zone == zone; }));
@@ -68,7 +68,7 @@
         {"zone", zone},
         {"since_ms", ToMilliseconds(evacuation.since.time_since_epoch())},
         {"change_id", evacuation.change_id},
-        {"backends", BackendsIn(zone)}};
+        {"backends", CountBackendsIn(zone)}};
     if (const auto* change = state.FindChange(evacuation.change_id)) {
       const RevisionProgress progress =
           ports_.leases().ProgressOf(change->revision);
@@ -81,7 +81,7 @@
       kStatusOk, {{"revision", state.revision()}, {"items", std::move(items)}});
 }
 
-// --- Requests under which back ends ended ------------------------------------
+// --- Requests that crashed backends ------------------------------------------
 
 net::HttpResponse ResourceApi::ListCrashingRequests() const {
   const ControlState& state = ports_.state();
@@ -104,7 +104,7 @@
   const auto request = ParseFingerprint(fingerprint);
   if (!request) {
     answer(FailureResponse({ErrorCode::kInvalidArgument, "fingerprint",
-                            "is not 16 hexadecimal digits"}));
+                            "must be 16 hexadecimal digits"}));
     return;
   }
   protocol::JudgeCrashesT operation;
@@ -112,7 +112,7 @@
   operation.digest = DigestOf(call);
   operation.release = {request->value};
   logging::LogEvent(kRequestReleased, {{"fingerprint", fingerprint},
-                                       {"reason", "an operator's order"}});
+                                       {"reason", "released by an operator"}});
   Submit(session::MakeOperation(std::move(operation)), call, answer);
 }
 
--- a/source/common/control/resource_api_rollouts.cc
+++ b/source/common/control/resource_api_rollouts.cc
@@ -1,4 +1,4 @@
-// The resource API's calls on roll-outs.
+// The resource API's calls on rollouts.
 #include <algorithm>
 #include <nlohmann/json.hpp>
 #include <utility>
@@ -18,43 +18,45 @@
 
 constexpr int kStatusOk = 200;
 constexpr int kStatusConflict = 409;
-constexpr std::size_t kLongestVersion = 128;
-// A canary needs time to start and to be listed, some two seconds.
-constexpr double kShortestDurationSeconds = 1;
-constexpr double kLongestDurationSeconds = 86'400;
+constexpr std::size_t kMaximumVersionBytes = 128;
+// Minimum duration of a rollout: a canary takes about two seconds to start and
+// to appear in the discovery list.
+constexpr double kMinimumDurationSeconds = 1;
+constexpr double kMaximumDurationSeconds = 86'400;
 
-struct RolloutOrder {
+// The body of a call that starts a rollout.
+struct RolloutRequest {
   std::string service;
   std::string target_version;
   double duration_seconds = 0;
 };
 
-Result<RolloutOrder> ParseOrder(const std::string& text) {
+Result<RolloutRequest> ParseRolloutRequest(const std::string& text) {
   const Result<json> body = ParseJson(text);
   if (!body) {
     return tl::unexpected(NameBody(body.error()));
   }
-  RolloutOrder order;
+  RolloutRequest request;
   JsonReader reader(*body, "");
-  reader.Text("service", &order.service, Presence::kRequired);
-  reader.Text("target_version", &order.target_version, Presence::kRequired);
-  reader.Fraction("duration_s", &order.duration_seconds,
-                  {kShortestDurationSeconds, kLongestDurationSeconds},
+  reader.Text("service", &request.service, Presence::kRequired);
+  reader.Text("target_version", &request.target_version, Presence::kRequired);
+  reader.Fraction("duration_s", &request.duration_seconds,
+                  {kMinimumDurationSeconds, kMaximumDurationSeconds},
                   Presence::kRequired);
-  if (order.service.empty()) {
+  if (request.service.empty()) {
     reader.Fail("service", "must not be empty");
   }
-  if (order.target_version.empty() ||
-      order.target_version.size() > kLongestVersion) {
-    reader.Fail("target_version", "must have 1 to 128 characters");
+  if (request.target_version.empty() ||
+      request.target_version.size() > kMaximumVersionBytes) {
+    reader.Fail("target_version", "must have 1 to 128 bytes");
   }
-  if (order.duration_seconds == 0) {
+  if (request.duration_seconds == 0) {
     reader.Fail("duration_s", "must be given");
   }
   if (const auto error = reader.Finish()) {
     return tl::unexpected(NameBody(*error));
   }
-  return order;
+  return request;
 }
 
 }  // namespace
@@ -76,12 +78,12 @@
 
 void ResourceApi::StartRollout(const ApiCall& call,
                                const ApiCallback& answer) const {
-  const auto order = ParseOrder(call.body);
-  if (!order) {
-    answer(FailureResponse(order.error()));
+  const auto request = ParseRolloutRequest(call.body);
+  if (!request) {
+    answer(FailureResponse(request.error()));
     return;
   }
-  const std::string& service = order->service;
+  const std::string& service = request->service;
   if (!IsForwardedService(service)) {
     answer(FailureResponse({ErrorCode::kInvalidArgument, "service",
                             "there is no service " + service}));
@@ -91,18 +93,18 @@
   operation.change_id = call.change_id;
   operation.digest = DigestOf(call);
   operation.service = service;
-  operation.target_version = order->target_version;
-  operation.duration_us = FromSeconds(order->duration_seconds).count();
+  operation.target_version = request->target_version;
+  operation.duration_us = FromSeconds(request->duration_seconds).count();
   operation.share_permille = rollout::ObservingShare(ports_.exposure);
   logging::LogEvent(kRolloutOrdered,
                     {{"change", call.change_id},
                      {"service", service},
-                     {"target_version", order->target_version},
-                     {"duration_s", order->duration_seconds},
+                     {"target_version", request->target_version},
+                     {"duration_s", request->duration_seconds},
                      {"share_permille", operation.share_permille}});
-  // A conflict names the roll-out that is under way.
-  const ApiCallback with_current = [this, service,
-                                    answer](net::HttpResponse response) {
+  // The answer to a conflict shows the rollout that is already running.
+  const ApiCallback answer_with_current = [this, service,
+                                           answer](net::HttpResponse response) {
     const auto& rollouts = ports_.state().fleet().rollouts;
     const auto current = rollouts.find(service);
     if (response.status == kStatusConflict && current != rollouts.end()) {
@@ -112,7 +114,8 @@
     }
     answer(std::move(response));
   };
-  Submit(session::MakeOperation(std::move(operation)), call, with_current);
+  Submit(session::MakeOperation(std::move(operation)), call,
+         answer_with_current);
 }
 
 void ResourceApi::RemoveRollout(const ApiCall& call, const std::string& service,
@@ -138,8 +141,7 @@
   const auto& rollouts = ports_.state().fleet().rollouts;
   const auto found = rollouts.find(service);
   if (found == rollouts.end()) {
-    return FailureResponse(
-        {ErrorCode::kNotFound, "service", "has no roll-out"});
+    return FailureResponse({ErrorCode::kNotFound, "service", "has no rollout"});
   }
   return JsonResponse(kStatusOk, DescribeRollout(service, found->second));
 }
--- a/source/common/control/session_server.cc
+++ b/source/common/control/session_server.cc
@@ -14,24 +14,25 @@
 namespace juniperway::control {
 namespace {
 
-// A heartbeat that the leader left unanswered for this long is answered with
-// "no leader": the daemon learns that this machine is alive and the leader not.
+// If the leader leaves a heartbeat unanswered for this long, this node answers
+// it with "no leader", so that the daemon knows that this node is alive and
+// only the leader does not answer.
 constexpr Duration kLeaderAnswerTimeout = milliseconds(600);
-// A session without a heartbeat for this long is closed.
-constexpr Duration kDeadSessionTimeout = seconds(15);
-
-// A daemon without any state that a nearer machine could serve gets none here
-// for this long, in which it moves there: ten ways between regions, and a
-// connection. A whole state is 1 MB with ten thousand back ends, and two of
-// three daemons of a fleet over three regions come to a machine of another one
-// first.
-constexpr Duration kMoveTime = milliseconds(500);
-// Control machines that become known within this time are announced together.
-// One by one, 24 machines that start at the same moment would be announced 48
-// times, with 2.4 KB at the end, to each of a thousand daemons: 60 MB.
-constexpr Duration kAnnounceDelay = milliseconds(200);
-
-bool MayComeFromDaemon(protocol::Operation type) {
+// A session on which no frame arrives for this long is closed.
+constexpr Duration kUnresponsiveSessionTimeout = seconds(15);
+
+// Delay of the first update to a daemon that has no state yet and could connect
+// to a nearer control node. It lasts ten one-way trips between regions and a
+// connection set-up, in which the daemon moves there. Without the delay, two of
+// three daemons of a fleet in three regions would first load the whole state
+// (1 MB with ten thousand backends) from another region.
+constexpr Duration kNearerNodeDelay = milliseconds(500);
+// Changes of the control nodes within this time are announced together.
+// Otherwise 24 control nodes that start at the same moment would cause 48
+// announcements of up to 2.4 KB to each of a thousand daemons, 60 MB in total.
+constexpr Duration kAnnouncementDelay = milliseconds(200);
+
+bool IsDaemonOperation(protocol::Operation type) {
   return type == protocol::Operation::LeaveMember ||
          type == protocol::Operation::ClaimRequest ||
          type == protocol::Operation::RecordOutcome ||
@@ -63,15 +64,15 @@
     logging::LogEvent(kDaemonRefused,
                       {{"node", node_id_}, {"cluster", hello.cluster}});
     protocol::SessionRefusedT refused;
-    refused.message = "this is cluster " + cluster_;
+    refused.message = "this control node belongs to cluster " + cluster_;
     session::SendMessage(*connection, std::move(refused));
     return 0;
   }
   const std::string& daemon_id = hello.member->daemon_id;
-  if (auto old = sessions_by_daemon_.find(daemon_id);
-      old != sessions_by_daemon_.end()) {
-    sessions_.at(old->second).connection->Close();
-    OnClosed(old->second);
+  if (auto previous = sessions_by_daemon_.find(daemon_id);
+      previous != sessions_by_daemon_.end()) {
+    sessions_.at(previous->second).connection->Close();
+    OnClosed(previous->second);
   }
   const std::uint64_t number = ++last_number_;
   Session& session = sessions_[number];
@@ -79,20 +80,20 @@
   session.member = *hello.member;
   session.sent_revision = hello.view_revision;
   session.minimum_revision = hello.minimum_revision;
-  session.heard = ReadMonotonicClock();
+  session.last_frame_time = ReadMonotonicClock();
   sessions_by_daemon_[daemon_id] = number;
   logging::LogEvent(kDaemonConnected, {{"node", node_id_},
                                        {"daemon", daemon_id},
                                        {"revision", hello.view_revision}});
-  if (hello.view_revision == 0 && IsAnyNearer(session)) {
-    session.next_update = session.heard + kMoveTime;
+  if (hello.view_revision == 0 && HasNearerControlNode(session)) {
+    session.next_update = session.last_frame_time + kNearerNodeDelay;
   }
   SendControlMembers(session);
   OnStateChanged();
   return number;
 }
 
-bool SessionServer::IsAnyNearer(const Session& session) const {
+bool SessionServer::HasNearerControlNode(const Session& session) const {
   const Place daemon{session.member.zone, session.member.region};
   const auto own = control_places_.find(node_id_);
   if (own == control_places_.end()) {
@@ -120,7 +121,7 @@
     session.connection->Close();
     return;
   }
-  session.heard = ReadMonotonicClock();
+  session.last_frame_time = ReadMonotonicClock();
   if (const auto* heartbeat = frame->message.AsHeartbeat()) {
     OnHeartbeat(session, *heartbeat);
   } else if (const auto* observed = frame->message.AsBackendObservations()) {
@@ -152,25 +153,25 @@
 void SessionServer::OnHeartbeat(Session& session,
                                 const protocol::HeartbeatT& heartbeat) {
   session.confirmed_revision = heartbeat.confirmed_revision;
-  if (IsDue(session)) {
+  if (IsUpdateDue(session)) {
     OnStateChanged();
   }
   if (session.unanswered_sequence == 0) {
     session.unanswered_sequence = heartbeat.sequence;
-    session.unanswered_since = session.heard;
+    session.unanswered_since = session.last_frame_time;
   }
   auto item = std::make_unique<protocol::MemberHeartbeatT>();
   item->daemon_id = session.member.daemon_id;
   item->incarnation = session.member.incarnation;
   item->heartbeat = std::make_unique<protocol::HeartbeatT>(heartbeat);
-  ServeFromPool(session, *item->heartbeat);
+  GrantFromPool(session, *item->heartbeat);
   queued_heartbeats_.push_back(std::move(item));
   ScheduleFlush();
 }
 
-void SessionServer::ServeFromPool(const Session& session,
+void SessionServer::GrantFromPool(const Session& session,
                                   protocol::HeartbeatT& heartbeat) {
-  const auto grants = pool_.Serve(heartbeat, session.heard);
+  const auto grants = pool_.Serve(heartbeat, session.last_frame_time);
   if (grants.empty()) {
     return;
   }
@@ -280,22 +281,22 @@
 void SessionServer::SetControlMembers(
     const std::vector<raft::Member>& members) {
   control_members_ = members;
-  AnnounceControlMembers();
+  ScheduleControlMembersAnnouncement();
 }
 
 void SessionServer::SetControlPlace(raft::NodeId node, const Place& place) {
   Place& known = control_places_[node];
   if (known != place) {
     known = place;
-    AnnounceControlMembers();
+    ScheduleControlMembersAnnouncement();
   }
 }
 
-void SessionServer::AnnounceControlMembers() {
+void SessionServer::ScheduleControlMembersAnnouncement() {
   if (std::exchange(announcement_scheduled_, true)) {
     return;
   }
-  announcement_timer_.expires_after(kAnnounceDelay);
+  announcement_timer_.expires_after(kAnnouncementDelay);
   announcement_timer_.async_wait(
       [this, alive = alive_](const asio::error_code& error) {
         if (error || !*alive) {
@@ -330,10 +331,10 @@
 // --- Operations --------------------------------------------------------------
 
 void SessionServer::Join(std::uint64_t number, Session& session) {
-  if (session.join_under_way || session.said_goodbye) {
+  if (session.join_in_flight || session.goodbye_received) {
     return;
   }
-  session.join_under_way = true;
+  session.join_in_flight = true;
   protocol::JoinMemberT join;
   join.member = std::make_unique<protocol::FleetMemberT>(session.member);
   Operations operations;
@@ -349,7 +350,7 @@
         if (found == sessions_.end()) {
           return;
         }
-        found->second.join_under_way = false;
+        found->second.join_in_flight = false;
         if (result && result->front()->error) {
           logging::LogEvent(kDaemonRefused,
                             {{"node", node_id_},
@@ -363,12 +364,12 @@
                            const protocol::SessionCallT& call) {
   Operations operations;
   for (const auto& item : call.operations) {
-    if (!MayComeFromDaemon(item->operation.type)) {
+    if (!IsDaemonOperation(item->operation.type)) {
       session.connection->Close();
       return;
     }
     if (item->operation.type == protocol::Operation::LeaveMember) {
-      session.member.leaving = true;  // also if it must join again
+      session.member.leaving = true;  // also for a later join
     }
     operations.push_back(std::make_unique<protocol::OperationItemT>(*item));
   }
@@ -394,7 +395,7 @@
 }
 
 void SessionServer::OnGoodbye(Session& session) {
-  session.said_goodbye = true;
+  session.goodbye_received = true;
   ports_.forward_goodbye(KeyOf(session));
 }
 
@@ -421,7 +422,7 @@
   });
 }
 
-bool SessionServer::IsDue(const Session& session) const {
+bool SessionServer::IsUpdateDue(const Session& session) const {
   const resources::Revision revision = ports_.state().revision();
   return session.sent_revision < revision &&
          session.confirmed_revision >= session.sent_revision &&
@@ -430,12 +431,13 @@
 
 void SessionServer::SendUpdates(MonotonicTime now) {
   const ControlState& state = ports_.state();
-  // Of the daemons that had an update a moment ago.
+  // Earliest time at which a daemon that was updated recently may get another
+  // update.
   std::optional<MonotonicTime> next;
-  // Most sessions stand at the same revision and share one frame.
+  // One frame per revision, because most daemons have the same revision.
   std::map<resources::Revision, flatbuffers::FlatBufferBuilder> frames;
   for (auto& [number, session] : sessions_) {
-    if (!IsDue(session)) {
+    if (!IsUpdateDue(session)) {
       continue;
     }
     if (now < session.next_update) {
@@ -463,17 +465,17 @@
   if (pool_.IsReportDue(now)) {
     ScheduleFlush();
   }
-  std::vector<std::uint64_t> dead;
+  std::vector<std::uint64_t> unresponsive;
   for (auto& [number, session] : sessions_) {
     if (session.unanswered_sequence != 0 &&
         now - session.unanswered_since > kLeaderAnswerTimeout) {
       SendNoLeader(session, session.unanswered_sequence);
     }
-    if (now - session.heard > kDeadSessionTimeout) {
-      dead.push_back(number);
+    if (now - session.last_frame_time > kUnresponsiveSessionTimeout) {
+      unresponsive.push_back(number);
     }
   }
-  for (const std::uint64_t number : dead) {
+  for (const std::uint64_t number : unresponsive) {
     sessions_.at(number).connection->Close();
     OnClosed(number);
   }
--- a/source/common/control/session_server.h
+++ b/source/common/control/session_server.h
@@ -1,6 +1,6 @@
-// The sessions of the daemons that are connected to this control machine. Any
-// control machine may hold any session: heartbeats and operations go to the
-// leader, updates come from the state that was committed here.
+// The sessions of the daemons that are connected to this control node. A daemon
+// may connect to any control node: the node forwards heartbeats and operations
+// to the leader and makes updates from its own committed state.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -23,32 +23,34 @@
 
 namespace juniperway::control {
 
-// A daemon's heartbeat on its way to the leader, and the answer on its way
-// back.
+// Heartbeats of daemons as a control node forwards them to the leader, and the
+// leader's replies to them.
 using Heartbeats = std::vector<std::unique_ptr<protocol::MemberHeartbeatT>>;
 using HeartbeatReplies =
     std::vector<std::unique_ptr<protocol::MemberHeartbeatReplyT>>;
 
-// When changes of the state are sent to daemons.
+// Limits how often a control node sends updates to daemons.
 struct UpdatePace {
-  // After a change, for others that come with it.
+  // Delay after a change, so that one update carries several changes.
   Duration delay;
-  // Least time between two updates to one daemon.
+  // Minimum interval between two updates to one daemon.
   Duration interval;
 };
 
+// Owned by ControlNode. Runs on the thread of its io_context.
 class SessionServer {
  public:
   struct Ports {
-    // The committed state of this machine.
+    // The state that was committed on this node.
     std::function<const ControlState&()> state;
-    // Brings heartbeats to the leader; the replies come through OnReplies.
-    // @return false when no leader can be reached.
+    // Forwards heartbeats to the leader, whose replies arrive in OnReplies.
+    // @return false if no leader is reachable.
     std::function<bool(Heartbeats)> forward_heartbeats;
+    // Forwards to the leader that a daemon has stopped and released its lease.
     std::function<void(const DaemonKey&)> forward_goodbye;
-    // What a daemon tells of back ends.
+    // Receives the observations of backends that a daemon reports.
     std::function<void(const observation::BackendObservations&)> on_observed;
-    // Brings operations to the leader and back.
+    // Forwards operations to the leader and passes on their results.
     std::function<void(Operations, CommandPipeline::Callback)> submit;
   };
 
@@ -58,29 +60,30 @@
   SessionServer(const SessionServer&) = delete;
   SessionServer& operator=(const SessionServer&) = delete;
 
-  // A daemon said hello on a new connection.
-  // @return its session's number; 0 when it was refused.
+  // Opens a session for a daemon whose hello arrived on a new connection, and
+  // closes the daemon's previous session.
+  // @return the session's number; 0 if the daemon was refused.
   std::uint64_t Open(const std::shared_ptr<net::FrameConnection>& connection,
                      const protocol::SessionHelloT& hello);
-  void OnFrame(std::uint64_t session, net::FrameBytes bytes);
-  void OnClosed(std::uint64_t session);
+  void OnFrame(std::uint64_t number, net::FrameBytes bytes);
+  void OnClosed(std::uint64_t number);
 
-  // The leader's answers to forwarded heartbeats.
+  // Passes the leader's replies to forwarded heartbeats on to the daemons.
   void OnReplies(const HeartbeatReplies& replies);
-  // The leader's watermarks grew.
+  // Sends the leader's new watermarks to the daemons.
   void OnProgress(resources::Revision in_force,
                   const std::map<std::string, resources::Revision>& zones);
-  // Passes on what other daemons tell of back ends.
+  // Sends the observations of other daemons to every router.
   void SendObservations(const observation::BackendObservations& observations);
-  // The control machines: every daemon is told how to reach them.
+  // Sets the members of the control group and announces them to the daemons.
   void SetControlMembers(const std::vector<raft::Member>& members);
-  // Where one of them stands, also one that is not a member yet.
+  // Sets the zone and region of a control node, which need not be a member yet.
   void SetControlPlace(raft::NodeId node, const Place& place);
-  // The state's revision grew.
+  // To be called when the state's revision has grown.
   void OnStateChanged();
 
-  // Answers what the leader left unanswered and closes dead sessions; to be
-  // called a few times a second.
+  // Answers heartbeats that the leader has not answered in time, and closes
+  // sessions of unresponsive daemons. To be called a few times a second.
   void Tick(MonotonicTime now);
   void Stop();
 
@@ -90,20 +93,22 @@
   struct Session {
     std::shared_ptr<net::FrameConnection> connection;
     protocol::FleetMemberT member;
-    // Revision that the daemon has, or that is on its way to it.
+    // Revision that was last sent to the daemon.
     resources::Revision sent_revision = 0;
-    // Revision that it uses. While this is behind, an update is on its way and
-    // no other is sent: a daemon that cannot follow gets fewer, larger ones.
+    // Revision that the daemon uses. While it is below `sent_revision`, an
+    // update is in flight and no other is sent, so that a slow daemon gets
+    // fewer, larger updates.
     resources::Revision confirmed_revision = 0;
+    // The daemon ignores updates to revisions below this.
     resources::Revision minimum_revision = 0;
-    // No update before this.
+    // Earliest time of the next update.
     MonotonicTime next_update = MonotonicTime::min();
-    bool join_under_way = false;
-    bool said_goodbye = false;
-    // Oldest heartbeat without an answer; 0: none.
+    bool join_in_flight = false;
+    bool goodbye_received = false;
+    // Sequence number of the oldest unanswered heartbeat; 0 if there is none.
     std::uint64_t unanswered_sequence = 0;
     MonotonicTime unanswered_since;
-    MonotonicTime heard;
+    MonotonicTime last_frame_time;
   };
 
   void OnHeartbeat(Session& session, const protocol::HeartbeatT& heartbeat);
@@ -111,22 +116,26 @@
               const protocol::SessionCallT& call);
   void OnGoodbye(Session& session);
   void Join(std::uint64_t number, Session& session);
-  // Sends what is queued to the leader in a later turn of the loop.
+  // Forwards the queued heartbeats in a later turn of the event loop, so that
+  // heartbeats that arrive together share one message.
   void ScheduleFlush();
   void FlushHeartbeats();
-  // Tokens that the pool has for what waits at the router.
-  void ServeFromPool(const Session& session, protocol::HeartbeatT& heartbeat);
-  // Tells every daemon how to reach the control machines, a moment later.
-  void AnnounceControlMembers();
+  // Sends the router rate tokens from the pool, and takes what the pool granted
+  // out of the heartbeat.
+  void GrantFromPool(const Session& session, protocol::HeartbeatT& heartbeat);
+  // Sends the addresses of the control nodes to every daemon after a delay.
+  void ScheduleControlMembersAnnouncement();
   void SendControlMembers(const Session& session) const;
-  // Some control machine stands nearer to the daemon than this one.
-  bool IsAnyNearer(const Session& session) const;
+  // Whether another control node is nearer to the daemon than this one.
+  bool HasNearerControlNode(const Session& session) const;
   void SendNoLeader(Session& session, std::uint64_t sequence);
-  // An update is to be sent, and none is on its way.
-  bool IsDue(const Session& session) const;
+  // Whether the daemon needs an update and none is in flight.
+  bool IsUpdateDue(const Session& session) const;
   void SendUpdates(MonotonicTime now);
-  // Sends updates after this time at the latest.
+  // Sends updates after `delay`, unless the timer already fires earlier.
   void ArmUpdateTimer(Duration delay);
+  // @param number receives the session's number; may be null.
+  // @return null if this start of the daemon has no session here.
   Session* FindByDaemon(const std::string& daemon_id, std::uint64_t incarnation,
                         std::uint64_t* number);
   DaemonKey KeyOf(const Session& session) const;
@@ -137,7 +146,7 @@
   UpdatePace pace_;
   Ports ports_;
   asio::steady_timer update_timer_;
-  // When the timer fires; nothing: it is not armed.
+  // When the timer fires; nothing if it is not armed.
   std::optional<MonotonicTime> update_due_;
   asio::steady_timer announcement_timer_;
   bool announcement_scheduled_ = false;
@@ -150,7 +159,7 @@
   RatePool pool_;
   std::vector<raft::Member> control_members_;
   std::map<raft::NodeId, Place> control_places_;
-  // Callbacks that outlive this object find it gone.
+  // False once this object is destroyed, for callbacks that run later.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/source/common/control/update_builder.cc
+++ b/source/common/control/update_builder.cc
@@ -168,7 +168,7 @@
   auto record = session::EncodeDiscovered(backend->second);
   const auto rollout = fleet_.rollouts.find(record.service);
   if (rollout == fleet_.rollouts.end()) {
-    // Daemons need no versions without a roll-out.
+    // Without a rollout, daemons do not need the version.
     record.version.clear();
   } else {
     record.canary = rollout::IsCanary(rollout->second, record.version);
--- a/source/common/control/update_builder.h
+++ b/source/common/control/update_builder.h
@@ -1,4 +1,5 @@
-// Updates of daemons' views, made of the replicated state.
+// Builds the updates that control nodes send to daemons from the replicated
+// state.
 #pragma once
 
 #include <memory>
@@ -11,29 +12,35 @@
 
 namespace juniperway::control {
 
+// Encodes that a service serves an index version.
 std::unique_ptr<protocol::ServingVersionT> MakeServing(
     const std::string& service, resources::IndexVersion version);
 
+// Encodes a stored route table for an update.
 std::unique_ptr<protocol::RouteTableRecordT> EncodeRouteTable(
     const StoredRouteTable& table);
 
-// Writes items into an update as daemons should see them: what the platform
-// and the operator say about leaving is merged in, and so is what a roll-out
-// does to back ends of its versions.
+// Adds items to an update in the form in which daemons use them: an item's
+// draining and leaving state combines the platform's list with the operator's
+// resources, and the backends of a rollout's versions carry the rollout's
+// effects. A caller owns one builder per update.
 class UpdateBuilder {
  public:
-  // @param fleet outlives the builder.
+  // @param fleet must outlive the builder.
   explicit UpdateBuilder(const FleetStore& fleet) : fleet_(fleet) {}
 
+  // Adds the current content of one item, or its removal if it no longer
+  // exists.
   void Add(const FleetItem& item);
   void AddEverything();
 
+  // Moves the update out of the builder.
   protocol::FleetUpdateT Take() { return std::move(update_); }
 
  private:
   void AddResource(const FleetItem& item);
-  // A name may have been deleted and used again for another version: each item
-  // stands for its own version.
+  // A snapshot's name may have been deleted and reused for another index
+  // version, so the item's index version decides whether it still exists.
   void AddSnapshot(const FleetItem& item, const resources::Resource* resource);
   void Put(const resources::Resource& resource);
   void AddMember(const std::string& name);
--- a/source/common/control/watch_list.cc
+++ b/source/common/control/watch_list.cc
@@ -26,12 +26,12 @@
            {{"kind", resources::KindName(id.kind)}, {"name", id.name}}}};
 }
 
-net::HttpResponse Gone() {
+net::HttpResponse GoneResponse() {
   return net::ErrorResponse(
       kStatusGone,
       {ErrorCode::kNotFound, "from",
-       "is not known here (any more): list the resources and watch from the "
-       "list's revision"},
+       "is a revision whose changes this control node does not have or no "
+       "longer keeps: list the resources and watch from the list's revision"},
       "not-run");
 }
 
@@ -57,7 +57,7 @@
       return false;
     }
     watcher.answer(watcher.from > revision
-                       ? Gone()
+                       ? GoneResponse()
                        : JsonResponse(kStatusOk, {{"revision", revision},
                                                   {"items", json::array()}}));
     return true;
@@ -71,11 +71,11 @@
   }
   const auto changed = state.ResourcesChangedSince(watcher.from);
   if (!changed) {
-    watcher.answer(Gone());
+    watcher.answer(GoneResponse());
     return true;
   }
   if (changed->empty()) {
-    return false;  // Members or reports changed, no resource.
+    return false;  // Only members or reports changed.
   }
   json items = json::array();
   for (const resources::ResourceId& id : *changed) {
--- a/source/common/control/watch_list.h
+++ b/source/common/control/watch_list.h
@@ -1,5 +1,6 @@
-// Callers of /v1/watch that wait for a change of a resource. Any control
-// machine answers from its own committed state, whose revision never goes back.
+// The pending calls of /v1/watch, which wait until a resource changes. Every
+// control node answers them from its own committed state, whose revision never
+// decreases.
 #pragma once
 
 #include <functional>
@@ -11,19 +12,22 @@
 
 namespace juniperway::control {
 
+// Owned by ApiServer.
 class WatchList {
  public:
   explicit WatchList(std::function<const ControlState&()> state)
       : state_(std::move(state)) {}
 
-  // Answers at once when a resource changed after `from`, else when one does,
-  // or with no items at `deadline`. 410 when `from` is too old to know, or of
-  // a state that this machine has not reached by `deadline`.
+  // Answers at once if a resource has changed after revision `from`. Otherwise
+  // answers when one changes, or with no items at `deadline`. Answers 410 if
+  // the changes since `from` are no longer kept, or if this node has not
+  // reached revision `from` by `deadline`.
   void Add(resources::Revision from, MonotonicTime deadline,
            ApiCallback answer);
-  // The state's revision grew.
+  // To be called when the state's revision has grown.
   void OnStateChanged();
-  // To be called a few times a second.
+  // Answers watches whose deadline has passed. To be called a few times a
+  // second.
   void Tick(MonotonicTime now);
 
  private:
@@ -33,7 +37,8 @@
     ApiCallback answer;
   };
 
-  // Answers `watcher` if there is something to say.
+  // Answers `watcher` if a resource has changed or 410 is due.
+  // @return whether `watcher` was answered.
   bool TryAnswer(const Watcher& watcher) const;
 
   std::function<const ControlState&()> state_;
--- a/test/support/stand_in_control.h
+++ b/test/support/stand_in_control.h
@@ -1,5 +1,5 @@
-// A control machine for tests of its callers: serves the resource API of a
-// fixture, and does to its answers what the test asks for.
+// A fake control node for tests of API clients: it serves the resource API of a
+// fixture and injects the faults that the test lists.
 #pragma once
 
 #include <deque>
@@ -13,14 +13,16 @@
 
 namespace juniperway::test {
 
+// Owned by a test, which also owns the io_context and the fixture; both must
+// outlive this object.
 class StandInControl {
  public:
-  // What becomes of one call; the calls after those listed are served.
+  // How the node treats one call.
   enum class Behaviour {
     kServe,
-    kNoLeader,    // 503, not run.
-    kLoseAnswer,  // Runs the call and closes the connection.
-    kFail,        // 500 of which it isn't known whether it ran.
+    kNoLeader,    // Answers 503 without running the call.
+    kLoseAnswer,  // Runs the call and closes the connection without an answer.
+    kFail,        // Answers 500, which says that the call may have run.
   };
 
   StandInControl(asio::io_context& context, ApiFixture& fixture)
@@ -29,7 +31,9 @@
   }
 
   std::string address() const { return address_; }
+  // Behaviours of the next calls, one for each; calls after them are served.
   std::deque<Behaviour> next;
+  // All requests so far.
   std::vector<net::HttpRequest> requests;
 
  private:
--- a/test/unit/control/discovery_corpus_test.cc
+++ b/test/unit/control/discovery_corpus_test.cc
@@ -1,5 +1,5 @@
-// Plays the inputs that fuzzing has kept: none may crash the reader of the
-// discovery list, or bring a back end out of it that cannot be used.
+// Parses every input of the fuzzing corpus: none may crash the parser of the
+// discovery list or make it return an unusable backend.
 #include <doctest/doctest.h>
 
 #include <filesystem>
@@ -14,7 +14,7 @@
 
 constexpr WallTime kNow{seconds(1'700'000'000)};
 
-TEST_CASE("no page of the corpus brings an unusable back end") {
+TEST_CASE("no page of the fuzzing corpus yields an unusable backend") {
   const auto corpus = std::filesystem::path(JUNIPERWAY_SOURCE_FOLDER) / "test" /
                       "fuzz" / "corpus" / "discovery_page";
   std::size_t pages = 0;
--- a/test/unit/control/rollout_api_test.cc
+++ b/test/unit/control/rollout_api_test.cc
@@ -1,4 +1,4 @@
-// The resource API's calls on roll-outs.
+// The resource API's calls on rollouts.
 #include <doctest/doctest.h>
 
 #include <nlohmann/json.hpp>
@@ -29,8 +29,8 @@
     state.Apply(command);
   }
 
-  net::HttpResponse Do(const std::string& method, const std::string& path,
-                       const std::string& body = "") {
+  net::HttpResponse SendCall(const std::string& method, const std::string& path,
+                             const std::string& body = "") {
     net::HttpResponse answer;
     api.Handle({method, path, {}, "change-" + std::to_string(++changes), body},
                [&answer](net::HttpResponse response) {
@@ -38,8 +38,8 @@
                });
     return answer;
   }
-  net::HttpResponse Order(const std::string& version) {
-    return Do(
+  net::HttpResponse StartRollout(const std::string& version) {
+    return SendCall(
         "POST", "/v1/rollouts",
         json{
             {"service", "s"}, {"target_version", version}, {"duration_s", 12.5}}
@@ -49,30 +49,34 @@
   int changes = 0;
 };
 
-TEST_CASE_FIXTURE(RolloutApi, "a roll-out is ordered, read and removed") {
-  CHECK(Do("GET", "/v1/rollouts/s").status == 404);
-  CHECK(Order("v2").status == 200);
-  const json rollout = json::parse(Do("GET", "/v1/rollouts/s").body);
+TEST_CASE_FIXTURE(RolloutApi, "a rollout is started, read and removed") {
+  CHECK(SendCall("GET", "/v1/rollouts/s").status == 404);
+  CHECK(StartRollout("v2").status == 200);
+  const json rollout = json::parse(SendCall("GET", "/v1/rollouts/s").body);
   CHECK(rollout["state"] == "running");
   CHECK(rollout["target_version"] == "v2");
   CHECK(rollout["duration_s"] == 12.5);
   CHECK(rollout["share_permille"] == 75);
-  CHECK(json::parse(Do("GET", "/v1/rollouts").body)["items"].size() == 1);
-  CHECK(Order("v2").status == 200);
-  CHECK(Do("DELETE", "/v1/rollouts/s").status == 200);
-  CHECK(Do("GET", "/v1/rollouts/s").status == 404);
+  CHECK(json::parse(SendCall("GET", "/v1/rollouts").body)["items"].size() == 1);
+  CHECK(StartRollout("v2").status == 200);
+  CHECK(SendCall("DELETE", "/v1/rollouts/s").status == 200);
+  CHECK(SendCall("GET", "/v1/rollouts/s").status == 404);
 }
 
-TEST_CASE_FIXTURE(RolloutApi, "a second roll-out is refused with the first") {
-  CHECK(Order("v2").status == 200);
-  const net::HttpResponse refused = Order("v3");
+TEST_CASE_FIXTURE(
+    RolloutApi, "a second rollout is refused and the answer shows the first") {
+  CHECK(StartRollout("v2").status == 200);
+  const net::HttpResponse refused = StartRollout("v3");
   CHECK(refused.status == 409);
   CHECK(json::parse(refused.body)["current"]["target_version"] == "v2");
 }
 
-TEST_CASE_FIXTURE(RolloutApi, "faults of an order are named") {
-  const auto field_of = [this](const json& order) {
-    const net::HttpResponse refused = Do("POST", "/v1/rollouts", order.dump());
+TEST_CASE_FIXTURE(
+    RolloutApi,
+    "an invalid rollout request is refused with the field at fault") {
+  const auto field_of = [this](const json& request) {
+    const net::HttpResponse refused =
+        SendCall("POST", "/v1/rollouts", request.dump());
     CHECK(refused.status == 400);
     return json::parse(refused.body)["error"]["field"].get<std::string>();
   };
@@ -93,7 +97,7 @@
                   {"target_version", "v2"},
                   {"duration_s", 12},
                   {"share", 1}}) == "share");
-  CHECK(Do("POST", "/v1/rollouts", "[").status == 400);
+  CHECK(SendCall("POST", "/v1/rollouts", "[").status == 400);
 }
 
 }  // namespace
--- a/test/unit/control/route_table_test.cc
+++ b/test/unit/control/route_table_test.cc
@@ -32,7 +32,7 @@
   Apply(state, std::move(operation));
 }
 
-void Discover(ControlState& state, const std::string& id, bool draining) {
+void AddDiscovered(ControlState& state, const std::string& id, bool draining) {
   protocol::UpdateDiscoveredT operation;
   session::DiscoveredBackend backend;
   backend.id = id;
@@ -44,7 +44,7 @@
   Apply(state, std::move(operation));
 }
 
-void Forget(ControlState& state, const std::string& id) {
+void RemoveDiscovered(ControlState& state, const std::string& id) {
   protocol::UpdateDiscoveredT operation;
   operation.removed.push_back(id);
   Apply(state, std::move(operation));
@@ -57,7 +57,7 @@
   return *view;
 }
 
-TEST_CASE("the highest version holds, and of two with one version the first") {
+TEST_CASE("the highest version wins, and the first table of equal versions") {
   ControlState state;
   Put(state, 5, Table(5));
   const auto revision = state.revision();
@@ -70,41 +70,43 @@
   CHECK(state.fleet().route_table.version == 9);
 }
 
-TEST_CASE("daemons get the table and the list, whole and as changes") {
+TEST_CASE(
+    "daemons get the route table and the discovery list, whole and as "
+    "updates") {
   ControlState state;
   Put(state, 3, Table(3));
-  Discover(state, "i-1", false);
+  AddDiscovered(state, "i-1", false);
   auto view = ViewOf(state, std::make_shared<session::FleetView>());
   REQUIRE(view->route_table);
   CHECK(view->route_table->version == 3);
   CHECK(view->discovered.find("i-1") != view->discovered.end());
   const auto table = view->route_table;
-  Discover(state, "i-1", true);
-  Discover(state, "i-2", false);
+  AddDiscovered(state, "i-1", true);
+  AddDiscovered(state, "i-2", false);
   view = ViewOf(state, view);
-  CHECK(view->route_table == table);  // not sent again
+  CHECK(view->route_table == table);  // the update does not contain the table
   CHECK(view->discovered.find("i-1")->second.draining);
   CHECK(view->discovered.find("i-2") != view->discovered.end());
-  Forget(state, "i-1");
+  RemoveDiscovered(state, "i-1");
   Put(state, 4, Table(4));
   view = ViewOf(state, view);
   CHECK(view->discovered.find("i-1") == view->discovered.end());
   CHECK(view->route_table->version == 4);
 }
 
-TEST_CASE("an unchanged reading of the list changes nothing") {
+TEST_CASE("a poll that returns the same list does not change the revision") {
   ControlState state;
-  Discover(state, "i-1", false);
+  AddDiscovered(state, "i-1", false);
   const auto revision = state.revision();
-  Discover(state, "i-1", false);
-  Forget(state, "i-9");
+  AddDiscovered(state, "i-1", false);
+  RemoveDiscovered(state, "i-9");
   CHECK(state.revision() == revision);
 }
 
-TEST_CASE("a snapshot holds both") {
+TEST_CASE("a snapshot contains the route table and the discovery list") {
   ControlState state;
   Put(state, 3, Table(3));
-  Discover(state, "i-1", true);
+  AddDiscovered(state, "i-1", true);
   const auto restored = ControlState::DecodeSnapshot(state.EncodeSnapshot());
   REQUIRE(restored);
   CHECK(restored->fleet().route_table.content == Compress(Table(3)));
