--- a/source/common/routes/home_regions.h
+++ b/source/common/routes/home_regions.h
@@ -1,5 +1,6 @@
-// The regions that an operator allows to serve a route's or a tenant's
-// requests. A limit of where a request may go, never a preference. Pure.
+// The regions that an operator allows to serve the requests of a route or a
+// tenant. The set limits where a request may run and expresses no preference
+// among the allowed regions. A plain value type.
 #pragma once
 
 #include <algorithm>
@@ -10,29 +11,30 @@
 
 namespace juniperway::routes {
 
+// Each Route and Tenant owns one.
 class HomeRegions {
  public:
-  // Every region may serve.
+  // Allows every region.
   HomeRegions() = default;
-  // @param regions empty: every region may serve.
+  // @param regions if empty, every region is allowed.
   explicit HomeRegions(std::set<std::string> regions)
       : regions_(std::move(regions)), limited_(!regions_.empty()) {}
 
-  // The regions that both allow; none at all where they have none in common.
+  // Returns the regions that both allow, which may be none at all.
   static HomeRegions Both(const HomeRegions& left, const HomeRegions& right) {
     if (!left.limited_ || !right.limited_) {
       return left.limited_ ? left : right;
     }
-    HomeRegions both;
-    both.limited_ = true;
+    HomeRegions common;
+    common.limited_ = true;
     std::ranges::set_intersection(
         left.regions_, right.regions_,
-        std::inserter(both.regions_, both.regions_.end()));
-    return both;
+        std::inserter(common.regions_, common.regions_.end()));
+    return common;
   }
 
-  // @param region empty: it is not known, which only those without a limit
-  //   allow.
+  // @param region empty if unknown; only an unlimited set allows an unknown
+  //   region.
   bool Allows(const std::string& region) const {
     return !limited_ || regions_.contains(region);
   }
--- a/source/common/routes/route_index.cc
+++ b/source/common/routes/route_index.cc
@@ -9,7 +9,7 @@
 namespace juniperway::routes {
 namespace {
 
-// "Example.org:8080" is "example.org".
+// Returns the host in lower case without its port.
 std::string NormalizeHost(std::string_view host) {
   const std::size_t colon = host.rfind(':');
   const std::size_t bracket = host.rfind(']');
@@ -33,7 +33,8 @@
   if (routes == hosts_.end()) {
     return nullptr;
   }
-  // Prefixes end with a slash, so only those ends can match.
+  // Tries the path's prefixes from the longest. Prefixes of routes end with a
+  // slash, so only prefixes of the path that end with one can match.
   for (std::size_t end = path.rfind('/'); end != std::string_view::npos;
        end = end == 0 ? std::string_view::npos : path.rfind('/', end - 1)) {
     const auto found = routes->second.find(path.substr(0, end + 1));
--- a/source/common/routes/route_index.h
+++ b/source/common/routes/route_index.h
@@ -1,5 +1,5 @@
-// Finds the route of a request: the one of its host with the longest prefix
-// that begins its path. Pure; built once for each table.
+// Finds the route of a request: among the routes of the request's host, the one
+// with the longest matching path prefix. Immutable.
 #pragma once
 
 #include <functional>
@@ -12,14 +12,15 @@
 
 namespace juniperway::routes {
 
+// Built once per route table, which it shares with its other users.
 class RouteIndex {
  public:
   explicit RouteIndex(RouteTablePointer table);
 
-  // @param host as in the request's header: case and a port do not count.
+  // @param host value of the Host header; case and port are ignored.
   // @param path without the query string.
-  // @return the route, which lives as long as the table; null when there is
-  //   none.
+  // @return the route, which is valid as long as the table; null if none
+  //   matches.
   const Route* Find(std::string_view host, std::string_view path) const;
 
   const RouteTablePointer& table() const { return table_; }
--- a/source/common/routes/route_table.cc
+++ b/source/common/routes/route_table.cc
@@ -25,9 +25,9 @@
 constexpr double kMaximumTenantRate = 1e9;
 constexpr std::size_t kMaximumKeyBytes = 4096;
 
-// Reads the fields of one JSON object and keeps the first fault. Unlike
-// JsonReader it passes over fields it does not know: a newer operator's tool
-// may send more.
+// Reads the fields of one JSON object and keeps the first error. Unlike
+// JsonReader, this class ignores unknown fields, because a newer tool of an
+// operator may send more fields.
 class ObjectReader {
  public:
   ObjectReader(const json& object, std::string path)
@@ -49,7 +49,7 @@
     const json* field = Field(name);
     if (field == nullptr || !field->is_string() ||
         field->get_ref<const std::string&>().empty()) {
-      Fail(name, "must be a text that is not empty");
+      Fail(name, "must be a string that is not empty");
       return "";
     }
     return field->get<std::string>();
@@ -57,10 +57,10 @@
 
   std::uint64_t Unsigned(const char* name, std::uint64_t minimum,
                          std::uint64_t maximum,
-                         std::optional<std::uint64_t> otherwise) {
+                         std::optional<std::uint64_t> default_value) {
     const json* field = Field(name);
-    if (field == nullptr && otherwise) {
-      return *otherwise;
+    if (field == nullptr && default_value) {
+      return *default_value;
     }
     if (field == nullptr || !field->is_number_unsigned() ||
         field->get<std::uint64_t>() < minimum ||
@@ -73,17 +73,17 @@
   }
 
   Duration Milliseconds(const char* name, std::uint64_t minimum,
-                        std::optional<std::uint64_t> otherwise) {
+                        std::optional<std::uint64_t> default_value) {
     return milliseconds(
-        Unsigned(name, minimum, kMaximumMilliseconds, otherwise));
+        Unsigned(name, minimum, kMaximumMilliseconds, default_value));
   }
 
-  // At least 0.
+  // Reads a number from 0 to `maximum`.
   double Number(const char* name, double maximum,
-                std::optional<double> otherwise) {
+                std::optional<double> default_value) {
     const json* field = Field(name);
-    if (field == nullptr && otherwise) {
-      return *otherwise;
+    if (field == nullptr && default_value) {
+      return *default_value;
     }
     if (field == nullptr || !field->is_number() || field->get<double>() < 0 ||
         field->get<double>() > maximum) {
@@ -133,12 +133,12 @@
   SplitTarget target;
   double total = 0;
   for (const json& element : reader.List("split")) {
-    ObjectReader part(element, reader.PathOf("split[]"));
+    ObjectReader weighted_reader(element, reader.PathOf("split[]"));
     WeightedService weighted;
-    weighted.service = part.Text("service");
-    weighted.weight = part.Number("weight", 1e9, std::nullopt);
-    if (part.fault()) {
-      reader.Fail("split", part.fault()->message);
+    weighted.service = weighted_reader.Text("service");
+    weighted.weight = weighted_reader.Number("weight", 1e9, std::nullopt);
+    if (weighted_reader.fault()) {
+      reader.Fail("split", weighted_reader.fault()->message);
     }
     total += weighted.weight;
     target.parts.push_back(std::move(weighted));
@@ -153,7 +153,7 @@
   ScatterTarget target;
   for (const json& shard : reader.List("scatter")) {
     if (!shard.is_string()) {
-      reader.Fail("scatter", "must be a list of services");
+      reader.Fail("scatter", "must be a list of names of services");
       return target;
     }
     target.shards.push_back(shard.get<std::string>());
@@ -166,8 +166,9 @@
   return target;
 }
 
-// A region that is named twice counts once. A name that no zone has is taken:
-// an operator may write the table before the region's first machine starts.
+// Duplicate regions count once. A region that no zone belongs to is accepted,
+// because an operator may write the table before the region's first daemon
+// starts.
 HomeRegions ReadHomeRegions(ObjectReader& reader) {
   std::set<std::string> regions;
   if (reader.Field("home_regions") == nullptr) {
@@ -278,24 +279,25 @@
   }
   ObjectReader reader(*field, "limits");
   ClientLimits& limits = table.limits;
-  const auto otherwise = [](Duration value) {
+  const auto to_milliseconds = [](Duration value) {
     return static_cast<std::uint64_t>(value / milliseconds(1));
   };
   limits.maximum_header_bytes = reader.Unsigned(
       "maximum_header_bytes", 1, kMaximumBytes, limits.maximum_header_bytes);
   limits.maximum_body_bytes = reader.Unsigned(
       "maximum_body_bytes", 0, kMaximumBytes, limits.maximum_body_bytes);
-  limits.header_timeout = reader.Milliseconds("header_timeout_ms", 1,
-                                              otherwise(limits.header_timeout));
-  limits.idle_timeout =
-      reader.Milliseconds("idle_timeout_ms", 1, otherwise(limits.idle_timeout));
+  limits.header_timeout = reader.Milliseconds(
+      "header_timeout_ms", 1, to_milliseconds(limits.header_timeout));
+  limits.idle_timeout = reader.Milliseconds(
+      "idle_timeout_ms", 1, to_milliseconds(limits.idle_timeout));
   if (reader.fault()) {
     return tl::unexpected(*reader.fault());
   }
   return {};
 }
 
-// A key goes over the wire as one word of a header.
+// A client sends a key as one word of a header field, so a key must have
+// visible ASCII characters only.
 bool IsUsableKey(const json& key) {
   if (!key.is_string()) {
     return false;
@@ -310,10 +312,11 @@
 std::vector<std::string> ReadKeys(ObjectReader& reader) {
   std::vector<std::string> keys;
   for (const json& key : reader.List("api_keys")) {
-    // The message must not show a key.
+    // The message must not contain the key, which is a secret.
     if (!IsUsableKey(key)) {
       reader.Fail("api_keys",
-                  "must be a list of keys, each a word of visible characters");
+                  "must be a list of keys, each of 1 to 4096 visible ASCII "
+                  "characters");
       return {};
     }
     keys.push_back(key.get<std::string>());
@@ -343,7 +346,7 @@
     return {};
   }
   std::set<std::string> names;
-  std::map<std::string, std::size_t> holders;
+  std::map<std::string, std::size_t> key_owners;
   std::vector<Tenant> tenants;
   for (const json& element : root.List("tenants")) {
     const std::string path = ElementPath("tenants", tenants.size());
@@ -353,14 +356,14 @@
     }
     if (!names.insert(tenant->name).second) {
       return MakeError(ErrorCode::kInvalidArgument, path + ".name",
-                       "is the name of another tenant");
+                       "is already the name of another tenant");
     }
     for (const std::string& key : tenant->api_keys) {
-      const std::size_t holder =
-          holders.try_emplace(key, tenants.size()).first->second;
-      if (holder != tenants.size()) {
+      const std::size_t owner =
+          key_owners.try_emplace(key, tenants.size()).first->second;
+      if (owner != tenants.size()) {
         return MakeError(ErrorCode::kInvalidArgument, path + ".api_keys",
-                         "holds a key of " + ElementPath("tenants", holder));
+                         "contains a key of " + ElementPath("tenants", owner));
       }
     }
     tenants.push_back(std::move(*tenant));
@@ -370,7 +373,7 @@
 }
 
 Result<void> ReadRoutes(ObjectReader& root, RouteTable& table) {
-  std::set<std::pair<std::string, std::string>> places;
+  std::set<std::pair<std::string, std::string>> host_prefixes;
   std::size_t index = 0;
   for (const json& element : root.List("routes")) {
     const std::string path = ElementPath("routes", index++);
@@ -382,12 +385,12 @@
       if (!table.services.contains(service)) {
         return MakeError(ErrorCode::kInvalidArgument, path,
                          "names the service " + service +
-                             ", which is not among the services");
+                             ", which is not in the list of services");
       }
     }
-    if (!places.emplace(route->host, route->path_prefix).second) {
+    if (!host_prefixes.emplace(route->host, route->path_prefix).second) {
       return MakeError(ErrorCode::kInvalidArgument, path,
-                       "has the host and prefix of another route");
+                       "has the host and path prefix of another route");
     }
     table.routes.push_back(std::move(*route));
   }
--- a/source/common/routes/route_table.h
+++ b/source/common/routes/route_table.h
@@ -1,6 +1,6 @@
-// The routing configuration of HTTP forwarding: which requests go to which
-// services, and under which limits. One versioned whole, written by operators
-// as one JSON document and replaced as one. Pure.
+// The route table of HTTP forwarding: which requests go to which services, and
+// under which limits. Operators write the table as one JSON document with a
+// version and replace it as a whole. Plain value types.
 //
 // Format: docs/operations/route-table.md.
 #pragma once
@@ -20,7 +20,8 @@
 
 namespace juniperway::routes {
 
-// Requests are divided among services in proportion to the weights.
+// A service of a split, with its weight: the split's requests are divided among
+// its services in proportion to their weights.
 struct WeightedService {
   std::string service;
   double weight = 0;
@@ -28,82 +29,89 @@
   bool operator==(const WeightedService&) const = default;
 };
 
-// Each request goes to one back end of one of these services. A route to a
-// single service is a split with one part.
+// Sends each request to one backend of one of these services. A route to a
+// single service is a split with one element.
 struct SplitTarget {
   std::vector<WeightedService> parts;
 
   bool operator==(const SplitTarget&) const = default;
 };
 
-// Each request goes to one back end of every service (shard); the answers'
-// records are merged.
+// Sends each request to one backend of every service (shard) and merges the
+// records of the answers.
 struct ScatterTarget {
   std::vector<std::string> shards;
-  // The answer holds this many of the greatest records.
+  // Maximum number of records in the merged answer, which keeps the greatest.
   std::size_t top_k = 0;
-  // Share of the shards that must be in for a success, 0 to 1.
+  // Share of the shards (0 to 1) that must answer for the request to succeed.
   double minimum_coverage = 1;
 
   bool operator==(const ScatterTarget&) const = default;
 };
 
+// One route: the requests that it matches and how they are forwarded.
 struct Route {
   std::string name;
   // Lower case, without a port.
   std::string host;
   // Begins and ends with a slash.
   std::string path_prefix;
-  // May run more than once.
+  // Whether backends may run a request of this route more than once.
   bool repeatable = false;
-  // The longest a request is held.
+  // Maximum time from a request's arrival to its answer.
   Duration timeout{};
-  // An answer within this time is worth most.
+  // Latency target for answers; the router places hedges by it.
   Duration target{};
   // 0 is the highest.
   std::uint32_t priority = 0;
-  // Back ends that may be asked for one request (for each shard).
+  // Maximum number of attempts that may run for a request, or for each shard of
+  // a scatter.
   std::uint32_t maximum_attempts = 1;
-  // Only back ends of these regions may get its requests.
+  // Regions whose backends may get the route's requests.
   HomeRegions home_regions;
-  // Of a table with tenants: its requests need no key and belong to none.
+  // In a table with tenants: the route's requests need no key and belong to no
+  // tenant.
   bool anonymous = false;
   std::variant<SplitTarget, ScatterTarget> destination;
 
   bool operator==(const Route&) const = default;
 };
 
+// The limits of a service's backends.
 struct RoutedService {
+  // Path of health checks; empty if the service has none.
   std::string health_path;
-  // Connections that each back end takes from all callers together.
+  // Maximum connections to each backend from all routers together.
   std::uint32_t maximum_connections = 1;
-  // How long a back end stays cold after it has started.
+  // Time for which a backend stays cold after its start.
   Duration warmup{};
-  // Requests a second that a cold back end takes from all callers together; 0:
-  // it is slow while it is cold, but takes as many as ever.
+  // Maximum requests per second to a cold backend from all routers together. 0
+  // means no limit: a cold backend is slow but takes as many requests as a warm
+  // one.
   double cold_requests_per_second = 0;
 
   bool operator==(const RoutedService&) const = default;
 };
 
-// Who shares the back ends with others, and is told from them by its API keys.
+// One of the tenants that share the backends; its API keys identify its
+// requests.
 struct Tenant {
   std::string name;
-  // No other tenant has one of them.
+  // No two tenants share a key.
   std::vector<std::string> api_keys;
-  // Takes the place of the route's; 0 is the highest.
+  // Replaces the route's priority; 0 is the highest.
   std::uint32_t priority = 0;
-  // Requests that the whole fleet takes; 0: no limit.
+  // Rate limit over the whole fleet, in requests per second; 0 means no limit.
   double requests_per_second = 0;
-  // Requests that may come at once, besides.
+  // Number of requests above the rate that may arrive at once.
   double burst = 0;
-  // Besides the route's.
+  // Limits the tenant's requests in addition to the route's home regions.
   HomeRegions home_regions;
 
   bool operator==(const Tenant&) const = default;
 };
 
-// What a client may send, and how long it may take.
+// Limits on the size and the timing of a client's requests.
 struct ClientLimits {
   std::size_t maximum_header_bytes = 16U << 10;
   std::size_t maximum_body_bytes = 256U << 10;
@@ -113,19 +121,20 @@
   bool operator==(const ClientLimits&) const = default;
 };
 
+// The parsed table. Its users share it as an immutable RouteTablePointer.
 struct RouteTable {
   std::uint64_t version = 0;
   std::vector<Route> routes;
   std::map<std::string, RoutedService> services;
   ClientLimits limits;
-  // Where there is a list, also an empty one, requests need a tenant's key.
+  // If there is a list, even an empty one, requests need the key of a tenant.
   std::optional<std::vector<Tenant>> tenants;
 };
 
 using RouteTablePointer = std::shared_ptr<const RouteTable>;
 
-// Parses and checks a whole table.
-// @return kInvalidArgument with the path of the first field that is wrong.
+// Parses and validates a whole table.
+// @return kInvalidArgument with the path of the first invalid field.
 Result<RouteTable> ParseRouteTable(std::string_view text);
 
 }  // namespace juniperway::routes
--- a/source/common/routes/tenant_index.h
+++ b/source/common/routes/tenant_index.h
@@ -1,5 +1,4 @@
-// Finds the tenant of a request by its API key. Pure; built once for each
-// table.
+// Finds the tenant of a request by its API key. Immutable.
 #pragma once
 
 #include <functional>
@@ -14,26 +13,28 @@
 
 namespace juniperway::routes {
 
-// Header fields of a request, as they came; a name may stand more than once.
+// Header fields of a request in the order of arrival; names may repeat.
 using HeaderFields = std::vector<std::pair<std::string, std::string>>;
 
+// The header field that carries a request's API key.
 inline constexpr std::string_view kCredentialsHeader = "authorization";
 
-// The key of a request: exactly one credentials header, "Bearer KEY", where the
-// scheme's case does not count.
-// @return nothing when there is none, or the header is malformed.
+// Returns the API key of a request, which must have exactly one credentials
+// header of the form "Bearer KEY"; the case of the scheme is ignored.
+// @return nothing if the header is missing, repeated or malformed.
 std::optional<std::string_view> ApiKeyOf(const HeaderFields& fields);
 
+// Built once per route table and owned by its RouteIndex.
 class TenantIndex {
  public:
   // @param table must outlive the index.
   explicit TenantIndex(const RouteTable& table);
 
-  // Whether requests need the key of a tenant, but on anonymous routes.
+  // Whether requests need the key of a tenant, except on anonymous routes.
   bool RequiresKeys() const { return requires_keys_; }
 
-  // @return the tenant, which lives as long as the table; null: no tenant has
-  //   this key.
+  // @return the tenant, which is valid as long as the table; null if no tenant
+  //   has this key.
   const Tenant* Find(std::string_view key) const;
 
  private:
--- a/test/unit/routes/route_index_test.cc
+++ b/test/unit/routes/route_index_test.cc
@@ -1,4 +1,5 @@
-// The route of a request: host, longest prefix.
+// The route index: a request gets the route of its host with the longest path
+// prefix.
 #include "common/routes/route_index.h"
 
 #include <doctest/doctest.h>
@@ -40,12 +41,12 @@
   CHECK(Find(index, "b.example", "/x/1") == "other");
 }
 
-TEST_CASE("case and port of the host do not count") {
+TEST_CASE("case and port of the host are ignored") {
   const RouteIndex index(Table());
   CHECK(Find(index, "A.Example:8080", "/x/y/z") == "deep");
 }
 
-TEST_CASE("there may be no route") {
+TEST_CASE("a request that matches no route gets none") {
   const RouteIndex index(Table());
   CHECK(Find(index, "b.example", "/y/") == "");
   CHECK(Find(index, "c.example", "/x/") == "");
--- a/test/unit/routes/route_table_test.cc
+++ b/test/unit/routes/route_table_test.cc
@@ -1,4 +1,5 @@
-// Route tables: what is read, and that each fault is refused with its path.
+// The parser of route tables: the fields that it reads, and that it refuses
+// each fault with the path of the field.
 #include "common/routes/route_table.h"
 
 #include <doctest/doctest.h>
@@ -40,7 +41,7 @@
   return table ? "" : table.error().field;
 }
 
-TEST_CASE("a whole table is read") {
+TEST_CASE("all fields of a table are parsed") {
   const auto table = ParseRouteTable(kTable);
   REQUIRE(table);
   CHECK(table->version == 7);
@@ -68,7 +69,7 @@
   CHECK(table->limits.idle_timeout == seconds(15));
 }
 
-TEST_CASE("a faulty table is refused with the path of its fault") {
+TEST_CASE("an invalid table is refused with the path of the invalid field") {
   CHECK(FaultOf(kTable.substr(0, kTable.size() / 2)) == "body");
   CHECK(FaultOf(With("\"version\": 7,", "")) == "version");
   CHECK(FaultOf(With("\"version\": 7", "\"version\": 0")) == "version");
@@ -92,7 +93,7 @@
   CHECK(FaultOf(With("\"routes\": [", "\"paths\": [")) == "routes");
 }
 
-TEST_CASE("a route is limited to its home regions") {
+TEST_CASE("the home regions of a route are parsed and validated") {
   const auto regions_of = [](const std::string& field) {
     const auto table = ParseRouteTable(
         With("\"timeout_ms\": 4000", field + "\"timeout_ms\": 4000"));
@@ -117,7 +118,7 @@
   }
 }
 
-TEST_CASE("what cold back ends take is read with its service") {
+TEST_CASE("the limits of cold backends are parsed with their service") {
   const auto table =
       ParseRouteTable(With("\"maximum_connections\": 5",
                            "\"maximum_connections\": 5, \"warmup_s\": 2.5, "
@@ -131,7 +132,7 @@
         "services[1].warmup_s");
 }
 
-TEST_CASE("fields that are not known are passed over") {
+TEST_CASE("unknown fields are ignored") {
   CHECK(ParseRouteTable(With("\"version\": 7", "\"version\": 7, \"new\": {}")));
 }
 
--- a/test/unit/routes/tenant_index_test.cc
+++ b/test/unit/routes/tenant_index_test.cc
@@ -1,4 +1,5 @@
-// Which tenant a request belongs to, and which tables of tenants are refused.
+// The tenant index and the tenants of a route table: which tenant a request
+// belongs to, and which lists of tenants the parser refuses.
 #include "common/routes/tenant_index.h"
 
 #include <doctest/doctest.h>
@@ -18,13 +19,13 @@
      "requests_per_second": 2.5, "burst": 4, "home_regions": ["r"]},
     {"name": "b", "api_keys": ["k3"]}])";
 
-// @return the path of the fault; empty: the table is taken.
+// @return the path of the invalid field; empty if the table is valid.
 std::string FaultOf(const std::string& tenants) {
   const auto table = ParseRouteTable(TableWith(tenants));
   return table ? "" : table.error().field;
 }
 
-TEST_CASE("tenants are read with their limits") {
+TEST_CASE("tenants are parsed with their limits") {
   const auto table = ParseRouteTable(TableWith(kTwoTenants));
   REQUIRE(table);
   REQUIRE(table->tenants);
@@ -38,7 +39,8 @@
   CHECK(table->tenants->back().requests_per_second == 0);
 }
 
-TEST_CASE("a table without tenants needs no keys, one with none needs some") {
+TEST_CASE(
+    "a table without a list of tenants needs no keys, an empty list does") {
   const auto without =
       ParseRouteTable(R"({"version": 1, "routes": [], "services": []})");
   REQUIRE(without);
@@ -48,7 +50,7 @@
   CHECK(TenantIndex(*empty).RequiresKeys());
 }
 
-TEST_CASE("a key names its tenant") {
+TEST_CASE("a key identifies its tenant") {
   const auto table = ParseRouteTable(TableWith(kTwoTenants));
   REQUIRE(table);
   const TenantIndex index(*table);
@@ -59,7 +61,7 @@
   CHECK(index.Find("") == nullptr);
 }
 
-TEST_CASE("tables whose tenants cannot be told apart are refused") {
+TEST_CASE("tenants that share a name or a key are refused") {
   CHECK(FaultOf(R"([{"name": "a", "api_keys": ["k"]},
                     {"name": "b", "api_keys": ["k"]}])") ==
         "tenants[1].api_keys");
@@ -69,7 +71,7 @@
   CHECK(FaultOf(R"([{"name": "a", "api_keys": ["k", "k"]}])") == "");
 }
 
-TEST_CASE("absurd fields of a tenant are refused with their path") {
+TEST_CASE("invalid fields of a tenant are refused with their path") {
   CHECK(FaultOf("7") == "tenants");
   CHECK(FaultOf("[7]") == "tenants[0]");
   CHECK(FaultOf(R"([{"api_keys": []}])") == "tenants[0].name");
@@ -84,7 +86,7 @@
   }
 }
 
-TEST_CASE("a message about a key does not show it") {
+TEST_CASE("an error about a key does not contain the key") {
   const auto table = ParseRouteTable(TableWith(
       R"([{"name": "a", "api_keys": ["secret"]},
           {"name": "b", "api_keys": ["secret"]}])"));
@@ -92,7 +94,7 @@
   CHECK(FormatError(table.error()).find("secret") == std::string::npos);
 }
 
-TEST_CASE("credentials are one header with the bearer scheme and a key") {
+TEST_CASE("credentials must be one header with the bearer scheme and one key") {
   const auto key = [](const std::string& value) {
     const HeaderFields fields = {{"Host", "h"}, {"AUTHORIZATION", value}};
     return std::string(ApiKeyOf(fields).value_or(""));
@@ -110,7 +112,7 @@
   CHECK(key("Bearer " + std::string(100'000, 'x')).size() == 100'000);
 }
 
-TEST_CASE("the regions of a route and its tenant both bind") {
+TEST_CASE("the regions of a route and of its tenant both limit a request") {
   const HomeRegions any;
   const HomeRegions ab({"a", "b"});
   const HomeRegions bc({"b", "c"});
@@ -121,7 +123,7 @@
   CHECK(both.Allows("b"));
   CHECK_FALSE(both.Allows("a"));
   CHECK_FALSE(both.Allows("c"));
-  // Nothing in common is no region at all, not every one.
+  // Sets without a common region allow no region, instead of every region.
   const HomeRegions none = HomeRegions::Both(ab, c);
   CHECK(none.IsLimited());
   for (const char* region : {"", "a", "b", "c"}) {
