--- a/source/common/routing/admission_limit.h
+++ b/source/common/routing/admission_limit.h
@@ -6,7 +6,7 @@
 // The limit is multiplied by kDecrease when several recent queries ended with
 // too little coverage because saturated backends shed their subqueries. The
 // limit grows by one per `limit` served queries. Queries that began before the
-// last decrease do not count again, since they ran under the old limit.
+// last decrease ran under the old limit and cannot cause another decrease.
 // Occasional sheds do not lower the limit.
 #pragma once
 
--- a/source/common/routing/backend_states.cc
+++ b/source/common/routing/backend_states.cc
@@ -87,8 +87,8 @@
   ++state.failures_in_a_row;
   state.failed_at = now;
   if (state.open) {
-    // Failures of subqueries sent before the breaker opened do not extend the
-    // backoff; only a failed probe does.
+    // Only a failure while a probe is in flight opens the breaker again.
+    // Earlier failures belong to subqueries sent before the breaker opened.
     if (state.probing) {
       Open(state, now);
     }
