--- a/source/common/owner/backend_gate.cc
+++ b/source/common/owner/backend_gate.cc
@@ -139,7 +139,7 @@
   probe_sent_.reset();
   if (result) {
     drain_.OnHealth(result->draining, sent, now);
-    breaker_.AllowTrial(now);
+    breaker_.EndBackoff(now);
     if (result->cold && !cold_) {
       slow_start_.Begin(now, settings_.slow_start);
     }
@@ -292,7 +292,7 @@
                                      static_cast<double>(UsableSlots(now))};
   std::vector<SubqueryId> infeasible;
   for (const FairQueue::Backlog& backlog : queue_.Backlogs()) {
-    std::ranges::copy(InfeasibleOf(backlog, estimate),
+    std::ranges::copy(FindInfeasible(backlog, estimate),
                       std::back_inserter(infeasible));
   }
   for (const SubqueryId id : infeasible) {
--- a/source/common/owner/backend_gate.h
+++ b/source/common/owner/backend_gate.h
@@ -159,6 +159,7 @@
   const GateSettings& settings() const { return settings_; }
 
  private:
+  // A search that was sent and whose connection is still open.
   struct RunningSearch {
     MonotonicTime started;
     MonotonicTime deadline;
--- a/source/common/owner/circuit_breaker.cc
+++ b/source/common/owner/circuit_breaker.cc
@@ -40,7 +40,7 @@
   }
 }
 
-void CircuitBreaker::AllowTrial(MonotonicTime now) {
+void CircuitBreaker::EndBackoff(MonotonicTime now) {
   if (open_) {
     retry_at_ = std::min(retry_at_, now);
   }
--- a/source/common/owner/circuit_breaker.h
+++ b/source/common/owner/circuit_breaker.h
@@ -33,7 +33,7 @@
   void OnFailure(MonotonicTime now);
 
   // Ends the current backoff, because the backend answered a probe.
-  void AllowTrial(MonotonicTime now);
+  void EndBackoff(MonotonicTime now);
 
   BreakerState State(MonotonicTime now) const;
 
--- a/source/common/owner/feasibility.cc
+++ b/source/common/owner/feasibility.cc
@@ -2,8 +2,8 @@
 
 namespace juniperway::owner {
 
-std::vector<SubqueryId> InfeasibleOf(const FairQueue::Backlog& backlog,
-                                     const FeasibilityEstimate& estimate) {
+std::vector<SubqueryId> FindInfeasible(const FairQueue::Backlog& backlog,
+                                       const FeasibilityEstimate& estimate) {
   const Duration mean = estimate.mean_service_time;
   const double slots = estimate.slots * backlog.share;
   std::vector<SubqueryId> infeasible;
--- a/source/common/owner/feasibility.h
+++ b/source/common/owner/feasibility.h
@@ -21,7 +21,7 @@
 // @return the subqueries of one class that would end after their deadline,
 //   given the class's share of the slots and the feasible subqueries queued
 //   before them in the class.
-std::vector<SubqueryId> InfeasibleOf(const FairQueue::Backlog& backlog,
-                                     const FeasibilityEstimate& estimate);
+std::vector<SubqueryId> FindInfeasible(const FairQueue::Backlog& backlog,
+                                       const FeasibilityEstimate& estimate);
 
 }  // namespace juniperway::owner
--- a/source/common/owner/ownership_tracker.h
+++ b/source/common/owner/ownership_tracker.h
@@ -27,8 +27,8 @@
 
 namespace juniperway::owner {
 
-// Ownership state of one daemon; the owner half of a gateway keeps one. Times
-// do not matter here, only revisions.
+// Ownership state of one daemon; the owner half of a gateway keeps one. All
+// positions are revisions of the control state; there are no times.
 class OwnershipTracker {
  public:
   explicit OwnershipTracker(std::string daemon_id);
--- a/source/common/quota/rate_granter.h
+++ b/source/common/quota/rate_granter.h
@@ -22,8 +22,8 @@
 // Limits by key; a key is the name of a tenant.
 using RateLimits = std::map<std::string, RateLimit>;
 
-// Grants rates and tokens of all keys. The leader role of each control node
-// owns one; it is in use only while the node leads.
+// Grants rates and tokens of all keys. TenantQuotas of each control node owns
+// one, and uses it only while the node leads.
 class RateGranter {
  public:
   RateGranter(const RateTolerance& tolerance, double maximum_clock_drift)
--- a/test/property/owner/owner_history.h
+++ b/test/property/owner/owner_history.h
@@ -61,7 +61,8 @@
 //  - no search starts after its owner knows of a drain, at or after the
 //    deadline, or while one with less remaining time stays queued;
 //  - each subquery has exactly one result;
-//  - only a search that never started has a result that says not run.
+//  - a started search has no result that says not run, except kShed and
+//    kDraining, which the backend itself may answer.
 HistoryReport CheckHistory(const History& history,
                            const std::map<std::string, BackendLimits>& limits);
 
--- a/test/property/quota/quota_test.cc
+++ b/test/property/quota/quota_test.cc
@@ -64,7 +64,7 @@
   CHECK(RefusedShare(QuotaFault::kLeaderCrash) < 0.05);
 }
 
-TEST_CASE("partitioned routers do not cause refusals at other routers") {
+TEST_CASE("with partitioned routers few requests within a limit are refused") {
   CHECK(RefusedShare(QuotaFault::kRoutersPartitioned) < 0.1);
 }
 
--- a/test/property/quota/quota_world.cc
+++ b/test/property/quota/quota_world.cc
@@ -21,7 +21,7 @@
 // Probability that a control node is partitioned, as a share of a router's.
 constexpr double kPoolPartitionShare = 0.9;
 constexpr Duration kPoolReportInterval = milliseconds(50);
-// Maximum one-one_way_delay delays of messages within a zone and between
+// Maximum one-way delays of messages within a zone and between
 // regions.
 constexpr Duration kMaximumZoneDelay = milliseconds(1);
 constexpr Duration kMaximumRegionDelay = milliseconds(14);
--- a/test/unit/owner/backend_gate_test.cc
+++ b/test/unit/owner/backend_gate_test.cc
@@ -301,10 +301,10 @@
   REQUIRE(gate.breaker_state(now) == BreakerState::kOpen);
   const GateActions refused = gate.Submit(id, now + seconds(9), now);
   CHECK(OutcomeOf(refused, id) == SubqueryOutcome::kShed);
-  const Duration pause = FinishOf(refused, id)->retry_after;
-  CHECK(pause > Duration::zero());
+  const Duration backoff = FinishOf(refused, id)->retry_after;
+  CHECK(backoff > Duration::zero());
 
-  now += pause;
+  now += backoff;
   CHECK(Started(gate.Submit(100, now + seconds(9), now)).size() == 1);
   CHECK(Started(gate.Submit(101, now + seconds(9), now)).empty());
   SUBCASE("the trial fails: a longer backoff") {
