--- a/source/common/forwarding/adaptive_throttle.cc
+++ b/source/common/forwarding/adaptive_throttle.cc
@@ -8,7 +8,7 @@
 
 void AdaptiveThrottle::Advance(MonotonicTime now) {
   const std::chrono::duration<double> passed = now - advanced_to_;
-  const std::chrono::duration<double> decay_time = kMemory;
+  const std::chrono::duration<double> decay_time = kDecayTime;
   const double factor = std::exp(-passed / decay_time);
   ended_ *= factor;
   shed_ *= factor;
--- a/source/common/forwarding/adaptive_throttle.h
+++ b/source/common/forwarding/adaptive_throttle.h
@@ -37,7 +37,7 @@
   // capacity again.
   static constexpr double kMinimumShare = 0.05;
   // Time constant of the exponential decay of the counts.
-  static constexpr Duration kMemory = seconds(1);
+  static constexpr Duration kDecayTime = seconds(1);
   // Minimum decayed number of shed requests before the share falls. A single
   // shed request may have met a backend that was full for a moment. Two that
   // are 1.4 s apart stay below the minimum.
--- a/source/common/forwarding/backend_pool.cc
+++ b/source/common/forwarding/backend_pool.cc
@@ -91,9 +91,11 @@
   return std::max<std::size_t>(1, static_cast<std::size_t>(share));
 }
 
-bool BackendPool::IsEligible(const Backend& backend, const BackendNeed& need) {
-  return need.home_regions.Allows(backend.region) &&
-         std::ranges::find(need.tried, backend.info.id) == need.tried.end();
+bool BackendPool::IsEligible(const Backend& backend,
+                             const BackendCriteria& criteria) {
+  return criteria.home_regions.Allows(backend.region) &&
+         std::ranges::find(criteria.tried, backend.info.id) ==
+             criteria.tried.end();
 }
 
 bool BackendPool::IsColdLimited(const Backend& backend, MonotonicTime now) {
@@ -179,34 +181,35 @@
       static_cast<double>(failed_attempt.count()) * failing / (1 - failing)));
 }
 
-bool BackendPool::WantsCanary(const Service& service, const BackendNeed& need) {
-  return service.rollout != 0 && need.tried.empty() &&
+bool BackendPool::WantsCanary(const Service& service,
+                              const BackendCriteria& criteria) {
+  return service.rollout != 0 && criteria.tried.empty() &&
          service.canary_allowance.MaySend();
 }
 
-const BackendPool::Backend* BackendPool::Choose(const BackendNeed& need,
+const BackendPool::Backend* BackendPool::Choose(const BackendCriteria& criteria,
                                                 MonotonicTime now) {
-  const auto found = services_.find(need.service);
+  const auto found = services_.find(criteria.service);
   if (found == services_.end()) {
     return nullptr;
   }
   Service& service = found->second;
-  if (WantsCanary(service, need)) {
-    const Backend* canary = ChooseAmong(service, need, /*canary=*/true, now);
+  if (WantsCanary(service, criteria)) {
+    const Backend* canary =
+        ChooseAmong(service, criteria, /*canary=*/true, now);
     if (canary != nullptr) {
       return canary;
     }
   }
-  const Backend* other = ChooseAmong(service, need, /*canary=*/false, now);
+  const Backend* other = ChooseAmong(service, criteria, /*canary=*/false, now);
   return other == nullptr && service.CanariesGetAll()
-             ? ChooseAmong(service, need, /*canary=*/true, now)
+             ? ChooseAmong(service, criteria, /*canary=*/true, now)
              : other;
 }
 
-const BackendPool::Backend* BackendPool::ChooseAmong(Service& service,
-                                                     const BackendNeed& need,
-                                                     bool canary,
-                                                     MonotonicTime now) {
+const BackendPool::Backend* BackendPool::ChooseAmong(
+    Service& service, const BackendCriteria& criteria, bool canary,
+    MonotonicTime now) {
   const std::vector<Backend*>& backends = service.backends;
   const double spent =
       1 - service.budget.RemainingShare(BudgetLimits(now), now);
@@ -220,11 +223,12 @@
   // are candidates.
   const bool any_healthy =
       std::ranges::any_of(backends, [&](const Backend* backend) {
-        return backend->info.canary == canary && IsEligible(*backend, need) &&
+        return backend->info.canary == canary &&
+               IsEligible(*backend, criteria) &&
                CanTakeAttempt(*backend, now) && IsHealthy(*backend, now);
       });
   for (const Backend* backend : backends) {
-    if (backend->info.canary != canary || !IsEligible(*backend, need) ||
+    if (backend->info.canary != canary || !IsEligible(*backend, criteria) ||
         !CanTakeAttempt(*backend, now) ||
         (any_healthy && !IsHealthy(*backend, now))) {
       continue;
@@ -243,17 +247,19 @@
   return best;
 }
 
-Availability BackendPool::AvailabilityOf(const BackendNeed& need,
+Availability BackendPool::AvailabilityOf(const BackendCriteria& criteria,
                                          MonotonicTime now) const {
-  const auto found = services_.find(need.service);
+  const auto found = services_.find(criteria.service);
   if (found == services_.end()) {
     return Availability::kNone;
   }
   auto availability = Availability::kNone;
   const Service& service = found->second;
-  const bool canaries = WantsCanary(service, need) || service.CanariesGetAll();
+  const bool canaries =
+      WantsCanary(service, criteria) || service.CanariesGetAll();
   for (const Backend* backend : service.backends) {
-    if (!IsEligible(*backend, need) || (backend->info.canary && !canaries)) {
+    if (!IsEligible(*backend, criteria) ||
+        (backend->info.canary && !canaries)) {
       continue;
     }
     if (CanTakeAttempt(*backend, now)) {
@@ -273,7 +279,7 @@
     return;
   }
   backend->second.in_flight[attempt] = now;
-  retired_under_way_ += backend->second.retired ? 1 : 0;
+  retired_in_flight_ += backend->second.retired ? 1 : 0;
   backend->second.idle_connections.OnSent(now);
   if (IsColdLimited(backend->second, now)) {
     backend->second.cold_allowance.OnSent(backend->second.cold_share, now);
@@ -314,7 +320,7 @@
   const MonotonicTime sent = in_flight->second;
   const Duration elapsed = now - sent;
   backend.in_flight.erase(in_flight);
-  retired_under_way_ -= backend.retired ? 1 : 0;
+  retired_in_flight_ -= backend.retired ? 1 : 0;
   if (result != AttemptResult::kCancelled) {
     backend.failure_rate.Record(result != AttemptResult::kAnswered, now);
   }
@@ -340,13 +346,13 @@
       backend.backoff_until = now + NextBackoff(backend, kInitialRefusalBackoff,
                                                 kMaximumRefusalBackoff);
       break;
-    case AttemptResult::kMisplaced:
+    case AttemptResult::kWrongBackend:
       backend.backoff_until =
           now + NextBackoff(backend, kMisplacedBackoff, kMisplacedBackoff);
       break;
     case AttemptResult::kFailed:
     case AttemptResult::kUnsent:
-    case AttemptResult::kBroken:
+    case AttemptResult::kIncompleteAnswer:
       backend.ejected_until =
           now + NextBackoff(backend, kInitialEjection, kMaximumEjection);
       break;
@@ -367,10 +373,10 @@
     case AttemptResult::kShed:
     case AttemptResult::kFailed:
     case AttemptResult::kUnsent:
-    case AttemptResult::kBroken:
+    case AttemptResult::kIncompleteAnswer:
       observation_log_.OnFailed(backend.hash, now);
       break;
-    case AttemptResult::kMisplaced:
+    case AttemptResult::kWrongBackend:
     case AttemptResult::kRefused:
     case AttemptResult::kReset:
     case AttemptResult::kCancelled:
@@ -405,7 +411,7 @@
   switch (outcome.result) {
     case AttemptResult::kFailed:
     case AttemptResult::kReset:
-    case AttemptResult::kBroken:
+    case AttemptResult::kIncompleteAnswer:
       observation.failed = true;
       break;
     case AttemptResult::kAnswered:
@@ -416,7 +422,7 @@
           !backend.info.cold && backend.locality_penalty < kOtherRegionPenalty;
       break;
     case AttemptResult::kShed:
-    case AttemptResult::kMisplaced:
+    case AttemptResult::kWrongBackend:
     case AttemptResult::kUnsent:
     case AttemptResult::kRefused:
       // The backend did not run the request.
@@ -428,8 +434,8 @@
                       observation);
 }
 
-bool BackendPool::IsShareLapsed(const std::string& service,
-                                MonotonicTime now) const {
+bool BackendPool::IsShareExpired(const std::string& service,
+                                 MonotonicTime now) const {
   const auto found = services_.find(service);
   return found != services_.end() &&
          found->second.canary_allowance.IsLapsed(now);
@@ -459,8 +465,9 @@
   known.canary_allowance.OnRequest(random_(), now);
 }
 
-bool BackendPool::TakeExtra(const std::string& service, MonotonicTime now) {
-  return services_[service].budget.TryTake(BudgetLimits(now), now);
+bool BackendPool::TryTakeExtraAttempt(const std::string& service,
+                                      MonotonicTime now) {
+  return services_[service].budget.TryTakeAttempt(BudgetLimits(now), now);
 }
 
 }  // namespace juniperway::forwarding
--- a/source/common/forwarding/backend_pool.h
+++ b/source/common/forwarding/backend_pool.h
@@ -21,11 +21,11 @@
 #include "common/base/time.h"
 #include "common/forwarding/cold_allowance.h"
 #include "common/forwarding/connection_allowance.h"
-#include "common/forwarding/extra_budget.h"
+#include "common/forwarding/extra_attempt_budget.h"
 #include "common/forwarding/failure_rate.h"
+#include "common/forwarding/idle_connections.h"
 #include "common/forwarding/recent_latency.h"
-#include "common/forwarding/usual_latency.h"
-#include "common/forwarding/warm_connections.h"
+#include "common/forwarding/typical_latency.h"
 #include "common/observation/observation_log.h"
 #include "common/observation/shared_failures.h"
 #include "common/rollout/answer_tally.h"
@@ -37,15 +37,15 @@
 
 // How one attempt at a backend ended.
 enum class AttemptResult {
-  kAnswered,   // A complete answer to this request that counts as success.
-  kFailed,     // A complete answer to this request that is a failure.
-  kShed,       // The backend reports that it did not run the request.
-  kMisplaced,  // Another backend has the address; the request did not run.
-  kUnsent,     // No connection was made: nothing was sent.
-  kRefused,    // A new connection was refused: nothing was sent.
-  kReset,      // A new connection was reset before an answer: may have run.
-  kBroken,     // Sent, but no complete answer came: may have run.
-  kCancelled,  // The router abandoned the attempt.
+  kAnswered,      // A complete answer to this request that counts as success.
+  kFailed,        // A complete answer to this request that is a failure.
+  kShed,          // The backend reports that it did not run the request.
+  kWrongBackend,  // Another backend has the address; the request did not run.
+  kUnsent,        // No connection was made: nothing was sent.
+  kRefused,       // A new connection was refused: nothing was sent.
+  kReset,         // A new connection was reset before an answer: may have run.
+  kIncompleteAnswer,  // Sent, but no complete answer came: may have run.
+  kCancelled,         // The router abandoned the attempt.
 };
 
 // Whether a service has a backend for one more request.
@@ -56,7 +56,7 @@
 };
 
 // Which backends an attempt may use.
-struct BackendNeed {
+struct BackendCriteria {
   const std::string& service;
   // Home regions of the route. Backends of other regions must not get the
   // request.
@@ -81,7 +81,7 @@
   // region of this router.
   std::map<std::string, std::string> regions;
   // Limits of the extra attempts, the same for each service.
-  ExtraBudgetLimits extra;
+  ExtraAttemptLimits extra;
   // Whether this router reports its failures to other routers and uses the
   // failures that they report.
   bool shares_observations = true;
@@ -103,7 +103,7 @@
   // backend and the router. With 1000 routers each router gets a scatter
   // request every 17 s on average; 3 % of the intervals between two are longer
   // than this timeout, and 31 % are longer than 20 s.
-  static constexpr seconds kIdleConnectionTime{60};
+  static constexpr seconds kIdleConnectionTimeout{60};
 
   struct Backend;
 
@@ -159,7 +159,7 @@
     // router.
     ConnectionAllowance connections;
     // Open and unused connections of this router to the backend.
-    IdleConnections idle_connections{kIdleConnectionTime};
+    IdleConnections idle_connections{kIdleConnectionTimeout};
     // Number of consecutive failed attempts.
     std::uint32_t failures = 0;
     // After failures, the backend gets no attempt before this time while a
@@ -197,10 +197,11 @@
               MonotonicTime now);
 
   // @return the backend to use, or null when none may be used now.
-  const Backend* Choose(const BackendNeed& need, MonotonicTime now);
+  const Backend* Choose(const BackendCriteria& criteria, MonotonicTime now);
 
   // Whether Choose would return a backend now, or is expected to soon.
-  Availability AvailabilityOf(const BackendNeed& need, MonotonicTime now) const;
+  Availability AvailabilityOf(const BackendCriteria& criteria,
+                              MonotonicTime now) const;
 
   // Record that an attempt was sent to a backend, and how it ended. Unknown
   // backends and attempts are ignored.
@@ -209,7 +210,7 @@
                MonotonicTime now);
 
   // Number of attempts in flight at backends that get no new requests.
-  std::size_t retired_under_way() const { return retired_under_way_; }
+  std::size_t retired_in_flight() const { return retired_in_flight_; }
 
   // Counts the outcome of an attempt for the rollout of its service, if there
   // is one.
@@ -219,7 +220,7 @@
   rollout::AnswerTally& answer_tally() { return answer_tally_; }
   // Whether the canaries of the service get only the base share because no
   // leader has renewed the share of the rollout.
-  bool IsShareLapsed(const std::string& service, MonotonicTime now) const;
+  bool IsShareExpired(const std::string& service, MonotonicTime now) const;
   // Records that the leader renewed the shares of these rollouts until this
   // time (canary_allowance.h).
   void OnSharesRenewed(const std::vector<rollout::RolloutNumber>& rollouts,
@@ -238,10 +239,10 @@
   void OnNamedRequest(const std::string& service);
 
   // Budget of a service for hedges and retries. OnFirstRequest counts a request
-  // to the service, before its first attempt. TakeExtra returns false when the
-  // budget allows no extra attempt now, otherwise counts one.
+  // to the service, before its first attempt. TryTakeExtraAttempt returns false
+  // when the budget allows no extra attempt now, otherwise counts one.
   void OnFirstRequest(const std::string& service, MonotonicTime now);
-  bool TakeExtra(const std::string& service, MonotonicTime now);
+  bool TryTakeExtraAttempt(const std::string& service, MonotonicTime now);
 
   // Number of backends of all services that may get requests.
   std::size_t live_backends() const { return live_backends_; }
@@ -258,7 +259,7 @@
   // more window.
   void SetRouterCount(std::size_t routers, MonotonicTime now);
   // Limits of the retry budgets for the current number of routers.
-  const ExtraBudgetLimits& BudgetLimits(MonotonicTime now);
+  const ExtraAttemptLimits& BudgetLimits(MonotonicTime now);
   void UpdateBackends(const session::FleetView& view, MonotonicTime now);
   // Adds a backend that is new, or updates one that has changed.
   void AddOrUpdateBackend(const std::string& id,
@@ -287,7 +288,8 @@
 
   // Whether the rules allow this request at the backend, now or later. Every
   // choice of a backend calls this.
-  static bool IsEligible(const Backend& backend, const BackendNeed& need);
+  static bool IsEligible(const Backend& backend,
+                         const BackendCriteria& criteria);
   // Whether the backend is cold and its service limits requests to cold
   // backends.
   static bool IsColdLimited(const Backend& backend, MonotonicTime now);
@@ -295,10 +297,11 @@
   // request, within the canary allowance. Hedges and retries go to backends of
   // the baseline version, which do not share the faults of the canaries, as
   // long as one is available.
-  static bool WantsCanary(const Service& service, const BackendNeed& need);
+  static bool WantsCanary(const Service& service,
+                          const BackendCriteria& criteria);
   // Returns the backend with the lowest expected cost among the canaries or
   // among the others.
-  const Backend* ChooseAmong(Service& service, const BackendNeed& need,
+  const Backend* ChooseAmong(Service& service, const BackendCriteria& criteria,
                              bool canary, MonotonicTime now);
   // Whether the backend may get an attempt now. It may still be ejected.
   bool CanTakeAttempt(const Backend& backend, MonotonicTime now) const;
@@ -348,7 +351,7 @@
   decltype(session::FleetView::evacuations) applied_evacuations_;
   routes::RouteTablePointer applied_table_;
   std::uint64_t backends_processed_ = 0;
-  std::size_t retired_under_way_ = 0;
+  std::size_t retired_in_flight_ = 0;
   rollout::AnswerTally answer_tally_;
   observation::ObservationLog observation_log_;
   observation::SharedFailures shared_failures_;
--- a/source/common/forwarding/backend_pool_update.cc
+++ b/source/common/forwarding/backend_pool_update.cc
@@ -42,7 +42,7 @@
   }
 }
 
-const ExtraBudgetLimits& BackendPool::BudgetLimits(MonotonicTime now) {
+const ExtraAttemptLimits& BackendPool::BudgetLimits(MonotonicTime now) {
   if (now >= budget_routers_decrease_at_) {
     options_.extra.routers = routers_;
     budget_routers_decrease_at_ = MonotonicTime::max();
@@ -149,11 +149,11 @@
   if (retired) {
     backends.erase(place);
     --live_backends_;
-    retired_under_way_ += backend.in_flight.size();
+    retired_in_flight_ += backend.in_flight.size();
   } else {
     backends.insert(place, &backend);
     ++live_backends_;
-    retired_under_way_ -= backend.in_flight.size();
+    retired_in_flight_ -= backend.in_flight.size();
   }
 }
 
@@ -163,7 +163,7 @@
   backend.connections = ConnectionAllowance();
   backend.idle_connections.Clear();
   if (backend.retired) {
-    retired_under_way_ -= backend.in_flight.size();
+    retired_in_flight_ -= backend.in_flight.size();
   }
   backend.in_flight.clear();
   backend.failures = 0;
--- a/source/common/forwarding/usual_deadline.cc
+++ b/source/common/forwarding/client_timeout_estimator.cc
@@ -1,10 +1,11 @@
-#include "common/forwarding/usual_deadline.h"
+#include "common/forwarding/client_timeout_estimator.h"
 
 #include <algorithm>
 
 namespace juniperway::forwarding {
 
-Duration UsualDeadline::ElapsedBefore(Duration allowed, MonotonicTime now) {
+Duration ClientTimeoutEstimator::EstimateElapsed(Duration allowed,
+                                                 MonotonicTime now) {
   // The first request starts the first window.
   const bool window_ended =
       window_start_ == MonotonicTime::min() || now - window_start_ >= kWindow;
--- a/source/common/forwarding/usual_deadline.h
+++ b/source/common/forwarding/client_timeout_estimator.h
@@ -1,6 +1,6 @@
-// UsualDeadline records the longest timeout that clients recently gave requests
-// of one route. A client most likely retries a request that comes with a
-// shorter timeout, and the difference shows how long ago it sent the request
+// ClientTimeoutEstimator records the longest timeout that clients recently gave
+// requests of one route. A client most likely retries a request that comes with
+// a shorter timeout, and the difference shows how long ago it sent the request
 // for the first time. The router owns one for each route. Callers pass the
 // current time.
 #pragma once
@@ -10,7 +10,7 @@
 namespace juniperway::forwarding {
 
 // Estimates how long before a request its client first sent it.
-class UsualDeadline {
+class ClientTimeoutEstimator {
  public:
   // A timeout counts for one to two of these windows. Settings of clients
   // change, and a single long timeout must not make all later requests count as
@@ -20,7 +20,7 @@
   // @param allowed the timeout that a request came with.
   // @return the estimated time between the first request of the client and
   //   `now`, at least zero.
-  Duration ElapsedBefore(Duration allowed, MonotonicTime now);
+  Duration EstimateElapsed(Duration allowed, MonotonicTime now);
 
  private:
   MonotonicTime window_start_ = MonotonicTime::min();
--- a/source/common/forwarding/crash_guard.cc
+++ b/source/common/forwarding/crash_guard.cc
@@ -11,9 +11,9 @@
       [](const auto& entry) { return entry.second.quarantined; }));
 }
 
-void CrashGuard::OnBackendsEnded(RequestFingerprint request,
-                                 const std::vector<std::string>& backends,
-                                 MonotonicTime now) {
+void CrashGuard::OnBackendsCrashed(RequestFingerprint request,
+                                   const std::vector<std::string>& backends,
+                                   MonotonicTime now) {
   Observation& observation = observations_[request];
   observation.crashed_backends.insert(backends.begin(), backends.end());
   observation.latest = now;
@@ -27,18 +27,19 @@
   return seen_here || fleet_verdicts_.find(request) != fleet_verdicts_.end();
 }
 
-Caution CrashGuard::CautionFor(RequestFingerprint request,
-                               MonotonicTime now) const {
+RequestHandling CrashGuard::HandlingOf(RequestFingerprint request,
+                                       MonotonicTime now) const {
   const auto verdict = fleet_verdicts_.find(request);
   if (verdict != fleet_verdicts_.end()) {
-    return verdict->second.quarantined ? Caution::kRefuse : Caution::kTrial;
+    return verdict->second.quarantined ? RequestHandling::kRefuse
+                                       : RequestHandling::kTrial;
   }
   const auto own = observations_.find(request);
   const bool suspected =
       own != observations_.end() &&
       now - own->second.latest < kObservationTimeToLive &&
       own->second.crashed_backends.size() >= kMinimumCrashedBackends;
-  return suspected ? Caution::kTrial : Caution::kNone;
+  return suspected ? RequestHandling::kTrial : RequestHandling::kNone;
 }
 
 void CrashGuard::EvictOldest() {
--- a/source/common/forwarding/crash_guard.h
+++ b/source/common/forwarding/crash_guard.h
@@ -22,7 +22,7 @@
 namespace juniperway::forwarding {
 
 // How the router handles a request.
-enum class Caution {
+enum class RequestHandling {
   kNone,
   // The router sends one attempt to one backend first, and further attempts
   // only once that backend has answered successfully.
@@ -48,15 +48,16 @@
   void OnView(const session::FleetView& view);
 
   // The backends crashed while they ran the request, and none has survived it.
-  void OnBackendsEnded(RequestFingerprint request,
-                       const std::vector<std::string>& backends,
-                       MonotonicTime now);
+  void OnBackendsCrashed(RequestFingerprint request,
+                         const std::vector<std::string>& backends,
+                         MonotonicTime now);
   // A backend answered the request successfully.
   // @return true when this router had observed crashes under the request, or
   //   the newest view lists it as crashing.
   bool OnSurvived(RequestFingerprint request);
 
-  Caution CautionFor(RequestFingerprint request, MonotonicTime now) const;
+  RequestHandling HandlingOf(RequestFingerprint request,
+                             MonotonicTime now) const;
 
   // Number of requests that the newest view quarantines.
   std::size_t quarantined() const { return quarantined_; }
--- a/source/common/forwarding/crash_reporter.cc
+++ b/source/common/forwarding/crash_reporter.cc
@@ -74,7 +74,7 @@
   LogEvent(kBackendsCrashed, {{"fingerprint", ToText(check.request)},
                               {"backends", check.crashed.size()},
                               {"first", check.crashed.front()}});
-  guard_.OnBackendsEnded(check.request, check.crashed, ReadMonotonicClock());
+  guard_.OnBackendsCrashed(check.request, check.crashed, ReadMonotonicClock());
   SendReport({.request = check.request,
               .ended_backends = check.crashed,
               .survived = false});
--- a/source/common/forwarding/exchange.cc
+++ b/source/common/forwarding/exchange.cc
@@ -123,7 +123,7 @@
 }
 
 void Exchange::OnCapacity() {
-  run_.OnCapacity(ReadMonotonicClock());
+  run_.OnBackendsAvailable(ReadMonotonicClock());
   CarryOutActions();
 }
 
@@ -243,7 +243,7 @@
       return;
     }
     self->timer_due_ = MonotonicTime::max();
-    self->run_.OnTime(ReadMonotonicClock());
+    self->run_.OnDeadline(ReadMonotonicClock());
     self->CarryOutActions();
   });
 }
--- a/source/common/forwarding/extra_budget.cc
+++ b/source/common/forwarding/extra_attempt_budget.cc
@@ -1,4 +1,4 @@
-#include "common/forwarding/extra_budget.h"
+#include "common/forwarding/extra_attempt_budget.h"
 
 #include <algorithm>
 
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-void ExtraAttemptBudget::AdvanceTo(const ExtraBudgetLimits& limits,
+void ExtraAttemptBudget::AdvanceTo(const ExtraAttemptLimits& limits,
                                    MonotonicTime now) {
   // The slices span two slices more than the window, because the current slice
   // is incomplete.
@@ -25,14 +25,14 @@
   current_ = std::max(current_, slice);
 }
 
-void ExtraAttemptBudget::OnRequest(const ExtraBudgetLimits& limits,
+void ExtraAttemptBudget::OnRequest(const ExtraAttemptLimits& limits,
                                    MonotonicTime now) {
   AdvanceTo(limits, now);
   ++slices_[static_cast<std::size_t>(current_) % kSlices].requests;
 }
 
 ExtraAttemptBudget::Usage ExtraAttemptBudget::UsageOf(
-    const ExtraBudgetLimits& limits, MonotonicTime now) {
+    const ExtraAttemptLimits& limits, MonotonicTime now) {
   AdvanceTo(limits, now);
   double requests = 0;
   Usage usage;
@@ -47,8 +47,8 @@
   return usage;
 }
 
-bool ExtraAttemptBudget::TryTake(const ExtraBudgetLimits& limits,
-                                 MonotonicTime now) {
+bool ExtraAttemptBudget::TryTakeAttempt(const ExtraAttemptLimits& limits,
+                                        MonotonicTime now) {
   const Usage usage = UsageOf(limits, now);
   if (usage.taken + 1 > usage.allowed) {
     return false;
@@ -57,7 +57,7 @@
   return true;
 }
 
-double ExtraAttemptBudget::RemainingShare(const ExtraBudgetLimits& limits,
+double ExtraAttemptBudget::RemainingShare(const ExtraAttemptLimits& limits,
                                           MonotonicTime now) {
   const Usage usage = UsageOf(limits, now);
   return usage.allowed <= 0
--- a/source/common/forwarding/extra_budget.h
+++ b/source/common/forwarding/extra_attempt_budget.h
@@ -14,7 +14,7 @@
 namespace juniperway::forwarding {
 
 // Settings of an ExtraAttemptBudget.
-struct ExtraBudgetLimits {
+struct ExtraAttemptLimits {
   // Limits of the whole fleet for each service: extra attempts per request, and
   // extra attempts per window that need no request.
   double ratio = 0.2;
@@ -32,14 +32,14 @@
 class ExtraAttemptBudget {
  public:
   // Counts a request to the service, before its first attempt.
-  void OnRequest(const ExtraBudgetLimits& limits, MonotonicTime now);
+  void OnRequest(const ExtraAttemptLimits& limits, MonotonicTime now);
 
   // @return false when no extra attempt may be sent now; otherwise counts one.
-  bool TryTake(const ExtraBudgetLimits& limits, MonotonicTime now);
+  bool TryTakeAttempt(const ExtraAttemptLimits& limits, MonotonicTime now);
 
   // Remaining share of the extra attempts that are allowed in the window, 0 to
   // 1.
-  double RemainingShare(const ExtraBudgetLimits& limits, MonotonicTime now);
+  double RemainingShare(const ExtraAttemptLimits& limits, MonotonicTime now);
 
  private:
   // The counts of a window are kept in this many slices. The oldest slice
@@ -56,9 +56,9 @@
     double allowed = 0;
     double taken = 0;
   };
-  Usage UsageOf(const ExtraBudgetLimits& limits, MonotonicTime now);
+  Usage UsageOf(const ExtraAttemptLimits& limits, MonotonicTime now);
   // Clears the slices that have left the window.
-  void AdvanceTo(const ExtraBudgetLimits& limits, MonotonicTime now);
+  void AdvanceTo(const ExtraAttemptLimits& limits, MonotonicTime now);
 
   std::array<Slice, kSlices> slices_{};
   // Index of the slice that contains the current time, counted from time zero
--- a/source/common/forwarding/warm_connections.cc
+++ b/source/common/forwarding/idle_connections.cc
@@ -1,4 +1,4 @@
-#include "common/forwarding/warm_connections.h"
+#include "common/forwarding/idle_connections.h"
 
 namespace juniperway::forwarding {
 
--- a/source/common/forwarding/message_codec.cc
+++ b/source/common/forwarding/message_codec.cc
@@ -129,7 +129,7 @@
   response.headers.emplace_back(names.part_signatures, std::move(signatures));
   response.headers.emplace_back(names.missing_parts,
                                 std::to_string(outcome.missing.size()));
-  response.body = std::move(outcome.records);
+  response.body = std::move(outcome.merged_records);
   return response;
 }
 
@@ -222,12 +222,13 @@
   }
   end.connection_lost = response.connection_lost;
   if (response.progress == net::HttpProgress::kSent) {
-    end.result = response.new_connection_refused ? AttemptResult::kReset
-                                                 : AttemptResult::kBroken;
+    end.result = response.new_connection_refused
+                     ? AttemptResult::kReset
+                     : AttemptResult::kIncompleteAnswer;
     return end;
   }
   if (response.status == kStatusMisdirected) {
-    end.result = AttemptResult::kMisplaced;
+    end.result = AttemptResult::kWrongBackend;
     return end;
   }
   if (Find(response.headers, names.not_executed) != nullptr) {
@@ -238,7 +239,7 @@
   // The router requested no encoding, so an encoded body is not the backend's.
   const bool encoded = Find(response.headers, "content-encoding") != nullptr;
   if (signature == nullptr || signature->empty() || encoded) {
-    end.result = AttemptResult::kBroken;
+    end.result = AttemptResult::kIncompleteAnswer;
     return end;
   }
   end.result = IsSuccess(response.status) ? AttemptResult::kAnswered
--- a/source/common/forwarding/observation_reporter.cc
+++ b/source/common/forwarding/observation_reporter.cc
@@ -16,7 +16,7 @@
                                          observation::ObservationLog& log)
     : log_(log), timer_(context) {}
 
-void ObservationReporter::OnProgress() {
+void ObservationReporter::OnAttemptsEnded() {
   if (!log_.has_news() || !report_ || std::exchange(scheduled_, true)) {
     return;
   }
@@ -31,7 +31,7 @@
 void ObservationReporter::Send() {
   scheduled_ = false;
   report_(log_.Take(observation::kMostEntries, ReadMonotonicClock()));
-  OnProgress();
+  OnAttemptsEnded();
 }
 
 }  // namespace juniperway::forwarding
--- a/source/common/forwarding/observation_reporter.h
+++ b/source/common/forwarding/observation_reporter.h
@@ -27,7 +27,7 @@
   void SetReport(Report report) { report_ = std::move(report); }
   // Schedules a report if the log has new observations. Call it after attempts
   // have ended.
-  void OnProgress();
+  void OnAttemptsEnded();
 
  private:
   void Send();
--- a/source/common/forwarding/request_run.cc
+++ b/source/common/forwarding/request_run.cc
@@ -133,7 +133,7 @@
   return !over_ && std::ranges::any_of(shards_, &Shard::waits_for_backend);
 }
 
-void RequestRun::OnCapacity(MonotonicTime now) {
+void RequestRun::OnBackendsAvailable(MonotonicTime now) {
   if (over_) {
     return;
   }
@@ -148,7 +148,7 @@
 
 // --- Attempts ----------------------------------------------------------------
 
-BackendNeed RequestRun::NeedOf(const Shard& shard) const {
+BackendCriteria RequestRun::NeedOf(const Shard& shard) const {
   return {.service = shard.service,
           .home_regions = home_regions_,
           .tried = shard.tried};
@@ -161,7 +161,7 @@
     return false;
   }
   const bool extra = shard.may_have_arrived || !shard.in_flight.empty();
-  if (extra && !pool_.TakeExtra(shard.service, now)) {
+  if (extra && !pool_.TryTakeExtraAttempt(shard.service, now)) {
     shard.extra_refusal = ExtraRefusal::kBudget;
     return false;
   }
@@ -237,7 +237,7 @@
   }
   switch (end.result) {
     case AttemptResult::kShed:
-    case AttemptResult::kMisplaced:
+    case AttemptResult::kWrongBackend:
     case AttemptResult::kUnsent:
     case AttemptResult::kRefused:
       // The backend did not run the request, so the trial showed nothing.
@@ -246,7 +246,7 @@
     case AttemptResult::kAnswered:
     case AttemptResult::kFailed:
     case AttemptResult::kReset:
-    case AttemptResult::kBroken:
+    case AttemptResult::kIncompleteAnswer:
     case AttemptResult::kCancelled:
       break;
   }
@@ -392,7 +392,7 @@
         [[fallthrough]];
       case AttemptResult::kUnsent:
       case AttemptResult::kShed:
-      case AttemptResult::kMisplaced:
+      case AttemptResult::kWrongBackend:
         --shard.runs;
         Retry(shard, now);
         break;
@@ -400,7 +400,7 @@
         shard.failure = std::move(end.answer);
         [[fallthrough]];
       case AttemptResult::kReset:
-      case AttemptResult::kBroken:
+      case AttemptResult::kIncompleteAnswer:
       case AttemptResult::kCancelled:
         may_have_run_ = true;
         if (route_.repeatable) {
@@ -416,7 +416,7 @@
   Evaluate(now);
 }
 
-void RequestRun::OnTime(MonotonicTime now) {
+void RequestRun::OnDeadline(MonotonicTime now) {
   if (over_) {
     return;
   }
@@ -545,7 +545,7 @@
       parts.push_back(shard.answer.body);
     }
   }
-  outcome.records = MergeTopRecords(parts, scatter_->top_k);
+  outcome.merged_records = MergeTopRecords(parts, scatter_->top_k);
 }
 
 std::vector<RunAction> RequestRun::TakeActions() {
--- a/source/common/forwarding/request_run.h
+++ b/source/common/forwarding/request_run.h
@@ -4,13 +4,14 @@
 // one service is a run with one shard. An Exchange owns the run and performs
 // its I/O. The run reads no clock: time is an argument, and actions are values.
 //
-// Use: call Start, then OnEnded for each attempt and OnTime at NextDeadline();
-// after each call, carry out TakeActions(). Once outcome() has a value the run
-// is over, and the pending actions cancel the attempts in flight.
+// Use: call Start, then OnEnded for each attempt and OnDeadline at
+// NextDeadline(); after each call, carry out TakeActions(). Once outcome() has
+// a value the run is over, and the pending actions cancel the attempts in
+// flight.
 //
 // While too many of the backends that it needs are busy, a run waits: it sends
 // nothing before Admit() finds enough of them free. An admitted run that lacks
-// free backends for some shards looks for them again in OnCapacity().
+// free backends for some shards looks for them again in OnBackendsAvailable().
 #pragma once
 
 #include <cstdint>
@@ -73,9 +74,9 @@
 
 // How an attempt ended.
 struct AttemptEnd {
-  AttemptResult result = AttemptResult::kBroken;
-  // For kReset and kBroken: the connection was lost while the backend had the
-  // request, before the first byte of an answer.
+  AttemptResult result = AttemptResult::kIncompleteAnswer;
+  // For kReset and kIncompleteAnswer: the connection was lost while the backend
+  // had the request, before the first byte of an answer.
   bool connection_lost = false;
   // For kAnswered: the answer echoes the request id.
   bool names_request = false;
@@ -117,7 +118,7 @@
   // For a scatter that succeeded: the shards' signatures and the merged
   // records.
   std::vector<std::string> signatures;
-  std::string records;
+  std::string merged_records;
   // For kFailed: minimum time before the client sends the request again. Zero
   // omits it from the answer.
   Duration retry_after{};
@@ -192,17 +193,17 @@
   void StopWaiting(MonotonicTime now);
   // Called when backends may have become free: sends the attempts that wait for
   // one.
-  void OnCapacity(MonotonicTime now);
+  void OnBackendsAvailable(MonotonicTime now);
   void OnEnded(AttemptId attempt, AttemptEnd end, MonotonicTime now);
   // Called at NextDeadline().
-  void OnTime(MonotonicTime now);
+  void OnDeadline(MonotonicTime now);
   // The client disconnected: cancels all attempts in flight. The run gets no
   // outcome.
   void OnClientGone(MonotonicTime now);
 
   // @return the actions since the previous call, in the order of execution.
   std::vector<RunAction> TakeActions();
-  // When OnTime must be called next; max() once the run is over.
+  // When OnDeadline must be called next; max() once the run is over.
   MonotonicTime NextDeadline() const;
   const std::optional<RunOutcome>& outcome() const { return outcome_; }
 
@@ -262,7 +263,7 @@
   };
 
   // The requirements of the shard's next attempt on its backend.
-  BackendNeed NeedOf(const Shard& shard) const;
+  BackendCriteria NeedOf(const Shard& shard) const;
   // Sends an attempt for the shard.
   // @return false when no backend is available, or the retry budget is used up.
   bool Send(Shard& shard, MonotonicTime now);
--- a/source/common/forwarding/router_metrics.cc
+++ b/source/common/forwarding/router_metrics.cc
@@ -55,7 +55,7 @@
       return "failed";
     case AttemptResult::kShed:
       return "shed";
-    case AttemptResult::kMisplaced:
+    case AttemptResult::kWrongBackend:
       return "misplaced";
     case AttemptResult::kUnsent:
       return "unsent";
@@ -63,7 +63,7 @@
       return "refused";
     case AttemptResult::kReset:
       return "reset";
-    case AttemptResult::kBroken:
+    case AttemptResult::kIncompleteAnswer:
       return "broken";
     case AttemptResult::kCancelled:
       return "cancelled";
--- a/source/common/forwarding/router_server.cc
+++ b/source/common/forwarding/router_server.cc
@@ -9,6 +9,7 @@
 
 #include "common/base/text.h"
 #include "common/forwarding/adaptive_throttle.h"
+#include "common/forwarding/client_timeout_estimator.h"
 #include "common/forwarding/events.h"
 #include "common/forwarding/exchange.h"
 #include "common/forwarding/exchange_dispatcher.h"
@@ -20,7 +21,6 @@
 #include "common/forwarding/startup_queue.h"
 #include "common/forwarding/stop_plan.h"
 #include "common/forwarding/tenant_admission.h"
-#include "common/forwarding/usual_deadline.h"
 #include "common/net/address.h"
 #include "common/net/http_client.h"
 #include "common/net/http_server.h"
@@ -47,9 +47,10 @@
 constexpr Duration kQuarantineRetryAfter = seconds(3600);
 // Range of Retry-After when backends are overloaded: around the decay time of
 // AdaptiveThrottle, after which the admitted share has changed.
-constexpr Duration kMinimumOverloadRetryAfter = AdaptiveThrottle::kMemory / 2;
+constexpr Duration kMinimumOverloadRetryAfter =
+    AdaptiveThrottle::kDecayTime / 2;
 constexpr Duration kMaximumOverloadRetryAfter =
-    AdaptiveThrottle::kMemory * 3 / 2;
+    AdaptiveThrottle::kDecayTime * 3 / 2;
 // Minimum interval between reports on canaries that the router sends before the
 // next regular heartbeat. It limits a busy router to five reports of about 400
 // bytes a second.
@@ -83,7 +84,7 @@
                         }),
         observation_reporter_(context, pool_.observation_log()),
         client_(context, /*maximum_connections_per_host=*/0,
-                BackendPool::kIdleConnectionTime),
+                BackendPool::kIdleConnectionTimeout),
         admission_(context,
                    [this] {
                      if (request_heartbeat_) {
@@ -106,7 +107,7 @@
                            dispatcher_.OnProgress(exchange);
                            ReportCanariesSoon();
                            ReportReleased();
-                           observation_reporter_.OnProgress();
+                           observation_reporter_.OnAttemptsEnded();
                          },
                      .on_over =
                          [this](const Exchange& exchange) {
@@ -175,7 +176,7 @@
     crash_report_ = std::move(report);
   }
 
-  void SetReportAsk(std::function<void()> ask) {
+  void SetHeartbeatRequest(std::function<void()> ask) {
     request_heartbeat_ = std::move(ask);
   }
   void SetReleaseReport(std::function<void(std::uint64_t revision)> report) {
@@ -232,7 +233,7 @@
     explicit RouteHistory(std::uint64_t seed) : throttle(seed) {}
 
     std::shared_ptr<RouteLatency> latency = std::make_shared<RouteLatency>();
-    UsualDeadline usual_deadline;
+    ClientTimeoutEstimator usual_deadline;
     AdaptiveThrottle throttle;
   };
 
@@ -302,12 +303,13 @@
              MonotonicTime arrived) {
     const MonotonicTime now = ReadMonotonicClock();
     Exchange::Request request = MakeRequest(message, route, tenant, arrived);
-    const Caution caution = crash_guard_.CautionFor(request.fingerprint, now);
-    if (caution == Caution::kRefuse) {
+    const RequestHandling caution =
+        crash_guard_.HandlingOf(request.fingerprint, now);
+    if (caution == RequestHandling::kRefuse) {
       RefuseQuarantined(message, *responder);
       return;
     }
-    request.suspected = caution == Caution::kTrial;
+    request.suspected = caution == RequestHandling::kTrial;
     RouteHistory& history = HistoryOf(route);
     SetTimes(message, arrived, now, history, request);
     // The throttle does not refuse a late request: the request was refused or
@@ -369,7 +371,7 @@
     const Duration allowed = deadline.value_or(request.route->timeout);
     request.deadline = arrived + std::min(allowed, request.route->timeout);
     request.elapsed_before =
-        history.usual_deadline.ElapsedBefore(allowed, now) + (now - arrived);
+        history.usual_deadline.EstimateElapsed(allowed, now) + (now - arrived);
   }
 
   // --- Limits of tenants -----------------------------------------------------
@@ -575,7 +577,7 @@
     const MonotonicTime now = ReadMonotonicClock();
     std::set<std::string> lapsed;
     for (const auto& [service, rollout] : rollouts_) {
-      if (!rollout.IsRenewable() || !pool_.IsShareLapsed(service, now)) {
+      if (!rollout.IsRenewable() || !pool_.IsShareExpired(service, now)) {
         continue;
       }
       lapsed.insert(service);
@@ -614,7 +616,7 @@
   // backends.
   void ReportReleased() {
     if (rollouts_.empty() || !release_report_ ||
-        released_revision_ == revision_ || pool_.retired_under_way() > 0) {
+        released_revision_ == revision_ || pool_.retired_in_flight() > 0) {
       return;
     }
     released_revision_ = revision_;
@@ -735,8 +737,8 @@
   implementation_->SetCrashReport(std::move(report));
 }
 
-void RouterServer::SetReportAsk(std::function<void()> ask) {
-  implementation_->SetReportAsk(std::move(ask));
+void RouterServer::SetHeartbeatRequest(std::function<void()> ask) {
+  implementation_->SetHeartbeatRequest(std::move(ask));
 }
 
 void RouterServer::SetReleaseReport(
--- a/source/common/forwarding/router_server.h
+++ b/source/common/forwarding/router_server.h
@@ -65,7 +65,7 @@
   // @param ask makes the session send a heartbeat soon, for the reports that
   // the
   //   heartbeat carries.
-  void SetReportAsk(std::function<void()> ask);
+  void SetHeartbeatRequest(std::function<void()> ask);
 
   // Must be called before the first request.
   // @param report reports to the control group that this router has no attempt
--- a/source/common/forwarding/tenant_admission.cc
+++ b/source/common/forwarding/tenant_admission.cc
@@ -119,7 +119,7 @@
   for (const std::string& tenant : tenants) {
     const auto& queue = waiting_.at(tenant);
     const auto late = std::ranges::count_if(queue, [now](const Waiting& entry) {
-      return now - entry.since >= kLongestAsk;
+      return now - entry.since >= kGrantTimeout;
     });
     std::ranges::move(TakeWaiting(tenant, static_cast<std::size_t>(late)),
                       std::back_inserter(expired));
@@ -138,7 +138,7 @@
   for (const auto& [tenant, queue] : waiting_) {
     oldest = std::min(oldest, queue.front().since);
   }
-  const Duration remaining = oldest + kLongestAsk - ReadMonotonicClock();
+  const Duration remaining = oldest + kGrantTimeout - ReadMonotonicClock();
   timer_armed_ = true;
   timer_.expires_after(std::max(remaining, Duration(0)));
   timer_.async_wait([this](const asio::error_code& error) {
--- a/source/common/forwarding/tenant_admission.h
+++ b/source/common/forwarding/tenant_admission.h
@@ -36,7 +36,7 @@
   // How long a request waits for a grant: eight round trips between regions
   // (24 ms). It is shorter than a leader election (about a second), so that a
   // refused client has time to send the request again.
-  static constexpr Duration kLongestAsk = milliseconds(200);
+  static constexpr Duration kGrantTimeout = milliseconds(200);
   // Retry-After of a kUndecided refusal: half of the time that a leader
   // election takes.
   static constexpr Duration kUndecidedRetryAfter = milliseconds(500);
@@ -50,7 +50,7 @@
   TenantAdmission(asio::io_context& context,
                   std::function<void()> request_report);
 
-  // Calls `callback` once: immediately or within kLongestAsk.
+  // Calls `callback` once: immediately or within kGrantTimeout.
   void Admit(const std::string& tenant, Callback callback);
   // Releases the token of a request that was never sent to a backend.
   void ReleaseToken(const std::string& tenant);
@@ -92,7 +92,7 @@
   // By tenant; each queue has the oldest request first.
   std::map<std::string, std::deque<Waiting>> waiting_;
   std::size_t waiting_count_ = 0;
-  // A request waited kLongestAsk without a grant, and none has arrived since.
+  // A request waited kGrantTimeout without a grant, and none has arrived since.
   bool control_unresponsive_ = false;
 };
 
--- a/source/common/forwarding/usual_latency.cc
+++ b/source/common/forwarding/typical_latency.cc
@@ -1,4 +1,4 @@
-#include "common/forwarding/usual_latency.h"
+#include "common/forwarding/typical_latency.h"
 
 #include <algorithm>
 
--- a/source/daemon/router_role.cc
+++ b/source/daemon/router_role.cc
@@ -87,7 +87,7 @@
         [this](const observation::BackendObservations& observations) {
           session.SendObservations(observations);
         });
-    router.SetReportAsk([this] { session.SendReportSoon(); });
+    router.SetHeartbeatRequest([this] { session.SendReportSoon(); });
     router.SetReleaseReport(
         [this](std::uint64_t revision) { session.ReportReleased(revision); });
     router.SetCrashReport([this](const session::CrashReport& report) {
--- a/source/daemon/settings.h
+++ b/source/daemon/settings.h
@@ -13,7 +13,7 @@
 #include <vector>
 
 #include "common/base/time.h"
-#include "common/forwarding/extra_budget.h"
+#include "common/forwarding/extra_attempt_budget.h"
 #include "common/forwarding/header_names.h"
 #include "common/logging/event_log.h"
 #include "common/net/tls.h"
@@ -43,7 +43,7 @@
   // Zone to region of the whole fleet.
   std::map<std::string, std::string> zones;
   // Bounds the fleet's hedges and retries at each service.
-  forwarding::ExtraBudgetLimits extra;
+  forwarding::ExtraAttemptLimits extra;
   // See forwarding::PoolOptions.
   bool shares_observations = true;
   forwarding::HeaderNames headers;
--- a/source/sim/forwarding/crash_sim.cc
+++ b/source/sim/forwarding/crash_sim.cc
@@ -13,7 +13,7 @@
 using forwarding::AttemptEnd;
 using forwarding::AttemptId;
 using forwarding::AttemptResult;
-using forwarding::Caution;
+using forwarding::RequestHandling;
 using forwarding::RequestRun;
 
 // Within which what is known of a request has to be in force everywhere.
@@ -168,8 +168,8 @@
 
   void Send(RequestFingerprint request, int tries_left) {
     Router& router = AnyRouter();
-    const Caution caution = router.guard.CautionFor(request, now_);
-    if (caution == Caution::kRefuse) {
+    const RequestHandling caution = router.guard.HandlingOf(request, now_);
+    if (caution == RequestHandling::kRefuse) {
       return;
     }
     auto exchange = std::make_shared<Exchange>();
@@ -178,7 +178,7 @@
     exchange->tries_left = tries_left;
     exchange->run = std::make_unique<RequestRun>(
         route_, "", now_ + kRouteTimeout, run_options_, router.pool,
-        router.latency, caution == Caution::kTrial);
+        router.latency, caution == RequestHandling::kTrial);
     exchange->run->Start(now_);
     Pump(exchange);
   }
@@ -201,7 +201,7 @@
     const MonotonicTime next = exchange->run->NextDeadline();
     Schedule(std::max(Duration(next - now_), Duration(1)), [this, exchange] {
       if (!exchange->run->outcome() && exchange->run->NextDeadline() <= now_) {
-        exchange->run->OnTime(now_);
+        exchange->run->OnDeadline(now_);
         Pump(exchange);
       }
     });
@@ -280,7 +280,8 @@
     backends_.erase(found);
     for (const RunningAttempt& attempt : backend.running) {
       Schedule(Random(milliseconds(1), milliseconds(12)), [this, attempt] {
-        End(attempt.exchange, attempt.attempt, AttemptResult::kBroken);
+        End(attempt.exchange, attempt.attempt,
+            AttemptResult::kIncompleteAnswer);
       });
     }
     Schedule(options_.restart_time, [this, backend, id] {
@@ -297,7 +298,7 @@
     }
     AttemptEnd end;
     end.result = result;
-    end.connection_lost = result == AttemptResult::kBroken;
+    end.connection_lost = result == AttemptResult::kIncompleteAnswer;
     end.answer.body = std::string(16, 'r');
     exchange->run->OnEnded(attempt, std::move(end), now_);
     Pump(exchange);
@@ -323,8 +324,8 @@
       if (report.ended_backends.empty()) {
         return;
       }
-      exchange.router->guard.OnBackendsEnded(exchange.request,
-                                             report.ended_backends, now_);
+      exchange.router->guard.OnBackendsCrashed(exchange.request,
+                                               report.ended_backends, now_);
     }
     if (!options_.reports_lost) {
       Schedule(Random(milliseconds(5), options_.control_delay),
--- a/test/support/request_run_world.h
+++ b/test/support/request_run_world.h
@@ -73,21 +73,21 @@
     return *run;
   }
 
-  // Records the run's pending actions in `sent` and `under_way`.
+  // Records the run's pending actions in `sent` and `in_flight`.
   void Take() {
     for (const RunAction& action : run->TakeActions()) {
       if (const auto* send = std::get_if<SendAction>(&action)) {
-        under_way[send->attempt] = *send;
+        in_flight[send->attempt] = *send;
         sent.push_back(*send);
       } else {
-        under_way.erase(std::get<CancelAction>(action).attempt);
+        in_flight.erase(std::get<CancelAction>(action).attempt);
       }
     }
   }
 
   // @return the oldest attempt in flight at a shard; 0 when there is none.
   AttemptId AttemptAt(const std::string& shard) const {
-    for (const auto& [id, send] : under_way) {
+    for (const auto& [id, send] : in_flight) {
       if (send.backend.starts_with(shard + "-")) {
         return id;
       }
@@ -101,9 +101,9 @@
     AttemptEnd end;
     end.result = result;
     end.answer.status = result == AttemptResult::kAnswered ? 200 : 500;
-    end.answer.signature = "sig-" + under_way.at(attempt).backend;
+    end.answer.signature = "sig-" + in_flight.at(attempt).backend;
     end.answer.body = record;
-    under_way.erase(attempt);
+    in_flight.erase(attempt);
     run->OnEnded(attempt, std::move(end), now);
     Take();
   }
@@ -111,9 +111,9 @@
   // Ends an attempt as if its backend had crashed while it ran the request.
   void Lose(AttemptId attempt) {
     AttemptEnd end;
-    end.result = AttemptResult::kBroken;
+    end.result = AttemptResult::kIncompleteAnswer;
     end.connection_lost = true;
-    under_way.erase(attempt);
+    in_flight.erase(attempt);
     run->OnEnded(attempt, std::move(end), now);
     Take();
   }
@@ -126,10 +126,10 @@
         std::string(16, static_cast<char>('a' + shard.back() - '0')));
   }
 
-  // Advances the clock to the run's next deadline and calls OnTime.
+  // Advances the clock to the run's next deadline and calls OnDeadline.
   void Wait() {
     now = std::max(now, run->NextDeadline());
-    run->OnTime(now);
+    run->OnDeadline(now);
     Take();
   }
 
@@ -139,7 +139,7 @@
   routes::Route route;
   std::unique_ptr<RequestRun> run;
   // Attempts in flight.
-  std::map<AttemptId, SendAction> under_way;
+  std::map<AttemptId, SendAction> in_flight;
   // All attempts, in the order of sending.
   std::vector<SendAction> sent;
   MonotonicTime now{seconds(100)};
--- a/test/unit/forwarding/backend_pool_test.cc
+++ b/test/unit/forwarding/backend_pool_test.cc
@@ -37,8 +37,8 @@
     pool.Update(view, routers, now);
   }
 
-  BackendNeed Need(const std::string& service,
-                   const std::vector<std::string>& tried) const {
+  BackendCriteria Need(const std::string& service,
+                       const std::vector<std::string>& tried) const {
     return {.service = service, .home_regions = home_regions, .tried = tried};
   }
 
@@ -117,12 +117,12 @@
 
 TEST_CASE("failures eject, and one attempt at a time tests for recovery") {
   Pool pool;
-  pool.Run("1", milliseconds(5), AttemptResult::kBroken);
+  pool.Run("1", milliseconds(5), AttemptResult::kIncompleteAnswer);
   CHECK(pool.Choose() == "2");
   pool.now += seconds(1);
   // The ejection has ended, but the pool prefers a backend that has not failed.
   CHECK(pool.Choose() == "2");
-  pool.Run("2", milliseconds(5), AttemptResult::kBroken);
+  pool.Run("2", milliseconds(5), AttemptResult::kIncompleteAnswer);
   CHECK(pool.Choose({"3"}) == "1");
   pool.pool.OnSent("1", 88, pool.now);
   CHECK(pool.Choose({"3"}) == "2");
@@ -260,7 +260,7 @@
 bool RunRequest(Pool& pool, Sheds sheds) {
   pool.pool.OnFirstRequest("s", pool.now);
   std::vector<std::string> tried;
-  while (tried.empty() || pool.pool.TakeExtra("s", pool.now)) {
+  while (tried.empty() || pool.pool.TryTakeExtraAttempt("s", pool.now)) {
     const std::string chosen = pool.Choose(tried);
     if (chosen.empty()) {
       return false;
@@ -309,7 +309,7 @@
     pool.now += seconds(100);
     pool.pool.Update(pool.view, 1, pool.now);
     int taken = 0;
-    while (pool.pool.TakeExtra("s", pool.now + passed)) {
+    while (pool.pool.TryTakeExtraAttempt("s", pool.now + passed)) {
       ++taken;
     }
     return taken;
@@ -332,7 +332,7 @@
   Pool pool;
   pool.Add(Started("1", 10));
   for (int i = 0; i < 5; ++i) {
-    pool.Run("1", milliseconds(900), AttemptResult::kBroken);
+    pool.Run("1", milliseconds(900), AttemptResult::kIncompleteAnswer);
   }
   pool.pool.OnSent("1", /*attempt=*/999, pool.now);
   CHECK(pool.Choose() == "2");
@@ -341,7 +341,8 @@
 
   // The attempt at the old process ends late and must not count against the new
   // one.
-  pool.pool.OnEnded("1", /*attempt=*/999, AttemptResult::kBroken, pool.now);
+  pool.pool.OnEnded("1", /*attempt=*/999, AttemptResult::kIncompleteAnswer,
+                    pool.now);
   CHECK(pool.Choose() == "1");
 }
 
@@ -349,7 +350,7 @@
   Pool pool;
   pool.Add(Started("1", 60));
   for (int i = 0; i < 5; ++i) {
-    pool.Run("1", milliseconds(900), AttemptResult::kBroken);
+    pool.Run("1", milliseconds(900), AttemptResult::kIncompleteAnswer);
   }
   pool.Add(Backend("1", "here"));
   CHECK(pool.Choose() == "2");
--- a/test/unit/forwarding/canary_test.cc
+++ b/test/unit/forwarding/canary_test.cc
@@ -103,16 +103,16 @@
   Fleet fleet;
   fleet.view.rollouts["s"].share_permille = 1000;
   fleet.Update();
-  CHECK(fleet.pool.IsShareLapsed("s", fleet.now));
+  CHECK(fleet.pool.IsShareExpired("s", fleet.now));
   CHECK(fleet.RunRequests(1000) < 140);
   // A renewal for another rollout does not count.
   fleet.pool.OnSharesRenewed({6}, MonotonicTime::max());
-  CHECK(fleet.pool.IsShareLapsed("s", fleet.now));
+  CHECK(fleet.pool.IsShareExpired("s", fleet.now));
   fleet.pool.OnSharesRenewed({7}, fleet.now + seconds(1));
-  CHECK_FALSE(fleet.pool.IsShareLapsed("s", fleet.now));
+  CHECK_FALSE(fleet.pool.IsShareExpired("s", fleet.now));
   CHECK(fleet.RunRequests(50) == 50);
   fleet.now += seconds(1);
-  CHECK(fleet.pool.IsShareLapsed("s", fleet.now));
+  CHECK(fleet.pool.IsShareExpired("s", fleet.now));
   CHECK(fleet.RunRequests(1000) < 140);
 }
 
@@ -122,25 +122,25 @@
   fleet.view.rollouts["s"].number = 8;
   fleet.view.rollouts["s"].share_permille = 1000;
   fleet.Update();
-  CHECK(fleet.pool.IsShareLapsed("s", fleet.now));
+  CHECK(fleet.pool.IsShareExpired("s", fleet.now));
 }
 
 TEST_CASE("attempts in flight at retired backends are counted") {
   Fleet fleet;
   fleet.pool.OnSent("old-1", 1, fleet.now);
   fleet.pool.OnSent("old-2", 2, fleet.now);
-  CHECK(fleet.pool.retired_under_way() == 0);
+  CHECK(fleet.pool.retired_in_flight() == 0);
   fleet.view.discovered["old-1"].draining = true;
   fleet.view.discovered.erase("old-2");
   fleet.Update();
-  CHECK(fleet.pool.retired_under_way() == 2);
+  CHECK(fleet.pool.retired_in_flight() == 2);
   fleet.pool.OnEnded("old-2", 2, AttemptResult::kAnswered, fleet.now);
-  CHECK(fleet.pool.retired_under_way() == 1);
+  CHECK(fleet.pool.retired_in_flight() == 1);
   fleet.view.discovered["old-1"].draining = false;
   fleet.Update();
-  CHECK(fleet.pool.retired_under_way() == 0);
+  CHECK(fleet.pool.retired_in_flight() == 0);
   fleet.pool.OnEnded("old-1", 1, AttemptResult::kAnswered, fleet.now);
-  CHECK(fleet.pool.retired_under_way() == 0);
+  CHECK(fleet.pool.retired_in_flight() == 0);
 }
 
 TEST_CASE("a failed attempt at a canary is counted and retried elsewhere") {
--- a/test/unit/forwarding/crashing_run_test.cc
+++ b/test/unit/forwarding/crashing_run_test.cc
@@ -17,8 +17,8 @@
   World world;
   RequestRun& run = world.Start();
   while (!run.outcome()) {
-    REQUIRE_FALSE(world.under_way.empty());
-    world.Lose(world.under_way.begin()->first);
+    REQUIRE_FALSE(world.in_flight.empty());
+    world.Lose(world.in_flight.begin()->first);
   }
   CHECK(world.sent.size() == kShards + 1);
   CHECK(run.outcome()->result == RunResult::kFailed);
@@ -91,19 +91,19 @@
   RequestRun& run = world.Start(/*suspected=*/true);
   CHECK(world.sent.size() == 1);
   SUBCASE("its backend crashes: the run sends nothing else") {
-    world.Lose(world.under_way.begin()->first);
+    world.Lose(world.in_flight.begin()->first);
     CHECK(world.sent.size() == 1);
     REQUIRE(run.outcome());
     CHECK(run.outcome()->result == RunResult::kFailed);
   }
   SUBCASE("its backend survives: the run sends the others") {
-    world.End(world.under_way.begin()->first, AttemptResult::kAnswered);
+    world.End(world.in_flight.begin()->first, AttemptResult::kAnswered);
     CHECK(world.sent.size() == kShards);
   }
   SUBCASE("its backend did not run it: the run sends another trial") {
-    world.End(world.under_way.begin()->first, AttemptResult::kShed);
+    world.End(world.in_flight.begin()->first, AttemptResult::kShed);
     CHECK(world.sent.size() == 2);
-    CHECK(world.under_way.size() == 1);
+    CHECK(world.in_flight.size() == 1);
   }
   SUBCASE("its backend is unresponsive: the run does not hedge") {
     for (int times = 0; times < 20; ++times) {
@@ -122,7 +122,7 @@
   }
   world.pool.Update(world.view, 1, world.now);
   RequestRun& run = world.Start();
-  world.Lose(world.under_way.begin()->first);
+  world.Lose(world.in_flight.begin()->first);
   REQUIRE_FALSE(run.crash_evidence().lost.empty());
   const std::string name = run.crash_evidence().lost.front().incarnation;
   CHECK(name.ends_with("@20000"));
--- a/test/unit/forwarding/extra_budget_test.cc
+++ b/test/unit/forwarding/extra_attempt_budget_test.cc
@@ -1,6 +1,6 @@
 // The budget for extra attempts: in any window a router sends at most ratio x
 // requests + its share of the slack.
-#include "common/forwarding/extra_budget.h"
+#include "common/forwarding/extra_attempt_budget.h"
 
 #include <doctest/doctest.h>
 
@@ -10,13 +10,13 @@
 namespace juniperway::forwarding {
 namespace {
 
-constexpr ExtraBudgetLimits kLimits{
+constexpr ExtraAttemptLimits kLimits{
     .ratio = 0.2, .slack = 60, .window = seconds(10), .routers = 6};
 
 TEST_CASE("without requests a router has only its share of the slack") {
   ExtraAttemptBudget budget;
   int taken = 0;
-  while (budget.TryTake(kLimits, MonotonicTime(seconds(100)))) {
+  while (budget.TryTakeAttempt(kLimits, MonotonicTime(seconds(100)))) {
     ++taken;
   }
   CHECK(taken > 0);
@@ -26,10 +26,10 @@
 TEST_CASE("the budget is available again after a window") {
   ExtraAttemptBudget budget;
   MonotonicTime now(seconds(100));
-  while (budget.TryTake(kLimits, now)) {
+  while (budget.TryTakeAttempt(kLimits, now)) {
   }
-  CHECK_FALSE(budget.TryTake(kLimits, now + seconds(9)));
-  CHECK(budget.TryTake(kLimits, now + seconds(13)));
+  CHECK_FALSE(budget.TryTakeAttempt(kLimits, now + seconds(9)));
+  CHECK(budget.TryTakeAttempt(kLimits, now + seconds(13)));
 }
 
 TEST_CASE("no window exceeds the limit under varying request rates") {
@@ -50,7 +50,7 @@
       budget.OnRequest(kLimits, now);
       window.push_back({now, false});
       ++requests;
-      if (budget.TryTake(kLimits, now)) {
+      if (budget.TryTakeAttempt(kLimits, now)) {
         window.push_back({now, true});
         ++extra;
       }
@@ -71,27 +71,27 @@
   const MonotonicTime now(seconds(100));
   CHECK(budget.RemainingShare(kLimits, now) == 1);
   double remaining = 1;
-  while (budget.TryTake(kLimits, now)) {
+  while (budget.TryTakeAttempt(kLimits, now)) {
     CHECK(budget.RemainingShare(kLimits, now) < remaining);
     remaining = budget.RemainingShare(kLimits, now);
   }
   CHECK(remaining < 0.2);
-  ExtraBudgetLimits none = kLimits;
+  ExtraAttemptLimits none = kLimits;
   none.slack = 0;
   CHECK(ExtraAttemptBudget().RemainingShare(none, now) == 0);
 }
 
 TEST_CASE("a router that has just started has no share of the slack") {
-  ExtraBudgetLimits limits = kLimits;
+  ExtraAttemptLimits limits = kLimits;
   limits.slack_from = MonotonicTime(seconds(110));
   ExtraAttemptBudget budget;
-  CHECK_FALSE(budget.TryTake(limits, MonotonicTime(seconds(109))));
+  CHECK_FALSE(budget.TryTakeAttempt(limits, MonotonicTime(seconds(109))));
   // The router has the budget that its own requests allow.
   for (int i = 0; i < 20; ++i) {
     budget.OnRequest(limits, MonotonicTime(seconds(109)));
   }
-  CHECK(budget.TryTake(limits, MonotonicTime(seconds(109))));
-  CHECK(budget.TryTake(limits, MonotonicTime(seconds(110))));
+  CHECK(budget.TryTakeAttempt(limits, MonotonicTime(seconds(109))));
+  CHECK(budget.TryTakeAttempt(limits, MonotonicTime(seconds(110))));
 }
 
 }  // namespace
--- a/test/unit/forwarding/warm_connections_test.cc
+++ b/test/unit/forwarding/idle_connections_test.cc
@@ -1,6 +1,6 @@
 // Estimates of the idle connections of a router, and their effect on the choice
 // of a backend.
-#include "common/forwarding/warm_connections.h"
+#include "common/forwarding/idle_connections.h"
 
 #include <doctest/doctest.h>
 
@@ -36,7 +36,7 @@
   for (int i = 0; i < scatters; ++i) {
     const RequestRun& run = world.Start();
     while (!run.outcome()) {
-      const auto [attempt, send] = *world.under_way.begin();
+      const auto [attempt, send] = *world.in_flight.begin();
       if (send.backend.starts_with("s0-")) {
         used.insert(send.backend);
       }
--- a/test/unit/forwarding/placement_test.cc
+++ b/test/unit/forwarding/placement_test.cc
@@ -95,11 +95,11 @@
       }
     }
     fleet.now += milliseconds(5);
-    run.OnCapacity(fleet.now);
+    run.OnBackendsAvailable(fleet.now);
     if (run.waiting()) {
       run.Admit(fleet.now);
     }
-    run.OnTime(fleet.now);
+    run.OnDeadline(fleet.now);
   }
   return sent;
 }
@@ -186,11 +186,11 @@
   const std::string service = "s0";
   const std::vector<std::string> others = {"s0-a2", "s0-b1", "s0-b2", "s0-c1"};
   const routes::HomeRegions anywhere;
-  const BackendNeed need = {service, anywhere, others};
+  const BackendCriteria criteria = {service, anywhere, others};
   AttemptId attempt = 0;
   const auto send_all = [&] {
     int sent = 0;
-    while (const auto* backend = fleet.pool.Choose(need, fleet.now)) {
+    while (const auto* backend = fleet.pool.Choose(criteria, fleet.now)) {
       const std::string id = backend->info.id;
       fleet.pool.OnSent(id, ++attempt, fleet.now);
       fleet.pool.OnEnded(id, attempt, AttemptResult::kAnswered, fleet.now);
--- a/test/unit/forwarding/request_run_test.cc
+++ b/test/unit/forwarding/request_run_test.cc
@@ -27,7 +27,7 @@
   CHECK(run.outcome()->result == RunResult::kSuccess);
   CHECK(run.outcome()->missing.empty());
   CHECK(run.outcome()->signatures.size() == kShards);
-  CHECK(run.outcome()->records ==
+  CHECK(run.outcome()->merged_records ==
         std::string(16, 'd') + std::string(16, 'c') + std::string(16, 'b'));
 }
 
@@ -41,7 +41,7 @@
   }
   // The route allows no hedge, so that the next deadline is the answer's.
   world.now = run.NextDeadline();
-  run.OnTime(world.now);
+  run.OnDeadline(world.now);
   const RunOptions options;
   CHECK(run.NextDeadline() == began + world.route.target -
                                   options.answer_margin -
@@ -54,14 +54,14 @@
   RequestRun& run = world.Start();
   // The event loop processes the hedges late: there may be unread answers.
   world.now = run.NextDeadline() + milliseconds(30);
-  run.OnTime(world.now);
+  run.OnDeadline(world.now);
   CHECK(run.hedges() == 0);
   CHECK(run.NextDeadline() <= world.now + milliseconds(20));
   world.now = run.NextDeadline() + milliseconds(10);
-  run.OnTime(world.now);
+  run.OnDeadline(world.now);
   CHECK(run.hedges() == 0);
   world.now = run.NextDeadline() + milliseconds(1);
-  run.OnTime(world.now);
+  run.OnDeadline(world.now);
   CHECK(run.hedges() == kShards);
 }
 
@@ -107,7 +107,7 @@
   CHECK(run.hedges() == 1);
   world.End(world.sent.back().attempt, AttemptResult::kAnswered);
   CHECK(run.outcome()->result == RunResult::kSuccess);
-  CHECK(world.under_way.empty());
+  CHECK(world.in_flight.empty());
 }
 
 TEST_CASE("no shard gets more attempts than the route's maximum") {
@@ -135,7 +135,7 @@
   CHECK(run.outcome()->result == RunResult::kSuccess);
   CHECK(run.outcome()->missing.size() == 1);
   CHECK(world.now - began < world.route.target);
-  CHECK(world.under_way.empty());
+  CHECK(world.in_flight.empty());
 }
 
 TEST_CASE("a scatter below the minimum coverage is no success") {
@@ -156,7 +156,7 @@
   // Both shards use up their attempts.
   for (const std::string shard : {"s1", "s2"}) {
     while (world.AttemptAt(shard) != 0 && !run.outcome()) {
-      world.End(world.AttemptAt(shard), AttemptResult::kBroken);
+      world.End(world.AttemptAt(shard), AttemptResult::kIncompleteAnswer);
     }
   }
   REQUIRE(run.outcome());
@@ -200,10 +200,10 @@
   World world;
   world.MakeSingle(true);
   RequestRun& run = world.Start();
-  world.End(world.AttemptAt("s0"), AttemptResult::kBroken);
+  world.End(world.AttemptAt("s0"), AttemptResult::kIncompleteAnswer);
   CHECK(world.sent.size() == 2);
   CHECK(world.sent[0].backend != world.sent[1].backend);
-  world.End(world.AttemptAt("s0"), AttemptResult::kBroken);
+  world.End(world.AttemptAt("s0"), AttemptResult::kIncompleteAnswer);
   REQUIRE(run.outcome());
   CHECK(run.outcome()->result == RunResult::kFailed);
 }
@@ -214,7 +214,7 @@
   world.MakeSingle(false);
   SUBCASE("broken") {
     RequestRun& run = world.Start();
-    world.End(world.AttemptAt("s0"), AttemptResult::kBroken);
+    world.End(world.AttemptAt("s0"), AttemptResult::kIncompleteAnswer);
     CHECK(world.sent.size() == 1);
     REQUIRE(run.outcome());
     CHECK(run.outcome()->result == RunResult::kFailed);
@@ -245,15 +245,16 @@
   world.End(world.AttemptAt("s0"), AttemptResult::kUnsent);
   REQUIRE(world.sent.size() == 3);
   // The third attempt arrived, so that a fourth one would need the budget.
-  world.End(world.AttemptAt("s0"), AttemptResult::kBroken);
+  world.End(world.AttemptAt("s0"), AttemptResult::kIncompleteAnswer);
   CHECK(world.sent.size() == 3);
   REQUIRE(run.outcome());
   CHECK(run.outcome()->result == RunResult::kFailed);
 }
 
 TEST_CASE("replacing an attempt that arrived needs budget") {
-  for (const auto result : {AttemptResult::kShed, AttemptResult::kMisplaced,
-                            AttemptResult::kBroken, AttemptResult::kFailed}) {
+  for (const auto result :
+       {AttemptResult::kShed, AttemptResult::kWrongBackend,
+        AttemptResult::kIncompleteAnswer, AttemptResult::kFailed}) {
     World world(/*slack=*/0, /*ratio=*/0);
     world.MakeSingle(/*repeatable=*/true);
     world.Start();
@@ -280,15 +281,15 @@
   world.MakeSingle(true);
   RequestRun& run = world.Start();
   SUBCASE("every backend shed the request") {
-    while (!world.under_way.empty()) {
+    while (!world.in_flight.empty()) {
       world.End(world.AttemptAt("s0"), AttemptResult::kShed);
     }
     REQUIRE(run.outcome());
     CHECK(run.outcome()->result == RunResult::kNotRun);
   }
   SUBCASE("one backend may have run it") {
-    world.End(world.AttemptAt("s0"), AttemptResult::kBroken);
-    while (!world.under_way.empty()) {
+    world.End(world.AttemptAt("s0"), AttemptResult::kIncompleteAnswer);
+    while (!world.in_flight.empty()) {
       world.End(world.AttemptAt("s0"), AttemptResult::kShed);
     }
     REQUIRE(run.outcome());
@@ -309,10 +310,10 @@
 TEST_CASE("a client's disconnect cancels all attempts in flight") {
   World world;
   RequestRun& run = world.Start();
-  CHECK(world.under_way.size() == kShards);
+  CHECK(world.in_flight.size() == kShards);
   run.OnClientGone(world.now);
   world.Take();
-  CHECK(world.under_way.empty());
+  CHECK(world.in_flight.empty());
   CHECK_FALSE(run.outcome());
 }
 
@@ -405,7 +406,7 @@
   CHECK_FALSE(run.outcome());
   SUBCASE("in time") {
     occupied.Release();
-    run.OnCapacity(world.now);
+    run.OnBackendsAvailable(world.now);
     world.Take();
     CHECK_FALSE(run.short_of_backends());
     world.Answer("s0");
@@ -473,7 +474,8 @@
   CHECK_FALSE(served_after(milliseconds(10), AttemptResult::kShed));
   CHECK(served_after(milliseconds(300), AttemptResult::kShed));
   // The run is late for another reason, which fewer requests would not change.
-  CHECK_FALSE(served_after(milliseconds(300), AttemptResult::kBroken));
+  CHECK_FALSE(
+      served_after(milliseconds(300), AttemptResult::kIncompleteAnswer));
 }
 
 }  // namespace
--- a/test/unit/forwarding/shared_observations_test.cc
+++ b/test/unit/forwarding/shared_observations_test.cc
@@ -94,7 +94,7 @@
     const routes::HomeRegions anywhere;
     std::vector<std::string> tried;
     pool.OnFirstRequest(service, now_);
-    while (tried.empty() || pool.TakeExtra(service, now_)) {
+    while (tried.empty() || pool.TryTakeExtraAttempt(service, now_)) {
       const auto* backend = pool.Choose(
           {.service = service, .home_regions = anywhere, .tried = tried}, now_);
       if (backend == nullptr) {
--- a/test/unit/forwarding/usual_latency_test.cc
+++ b/test/unit/forwarding/typical_latency_test.cc
@@ -1,5 +1,5 @@
 // The estimated typical latency of a service.
-#include "common/forwarding/usual_latency.h"
+#include "common/forwarding/typical_latency.h"
 
 #include <doctest/doctest.h>
 
