--- a/source/common/control/leader_role.cc
+++ b/source/common/control/leader_role.cc
@@ -58,7 +58,7 @@
 std::set<std::string> LeaderRole::PoolsWithTokens(MonotonicTime now) const {
   std::set<std::string> pools;
   for (const auto& [name, seen] : pools_) {
-    if (now - seen < 2 * quota::kRateLease) {
+    if (now - seen < 2 * quota::kRateLeaseDuration) {
       pools.insert(name);
     }
   }
@@ -182,7 +182,7 @@
       // The daemon knew this leader before it sent the heartbeat, so it has
       // sent all its reports to this leader.
       if (heartbeat.term == leases_.term()) {
-        rollout_judge_.OnHeard(item.daemon_id);
+        rollout_judge_.OnFullReport(item.daemon_id);
       }
     }
   }
@@ -332,7 +332,7 @@
           [&fleet](const std::string& service, const std::string& version) {
             return fleet.CountDiscovered(service, version);
           }};
-  for (const rollout::NamedStep& due :
+  for (const rollout::ServiceStep& due :
        rollout_judge_.TakeSteps(fleet.rollouts, facts, now)) {
     if (!rollout_steps_in_flight_.insert(due.service).second) {
       continue;
@@ -356,8 +356,8 @@
                        {"reason", due.step.reason},
                        {"canary_answers", due.evidence.canary_answers},
                        {"canary_bad", due.evidence.canary_bad},
-                       {"other_answers", due.evidence.other_answers},
-                       {"other_bad_share", due.evidence.other_bad_share},
+                       {"other_answers", due.evidence.baseline_answers},
+                       {"other_bad_share", due.evidence.baseline_bad_share},
                        {"score", due.evidence.score},
                        {"witnesses", due.evidence.witnesses}});
     Submit(OneOperation(std::move(operation)),
--- a/source/common/control/observation_exchange.cc
+++ b/source/common/control/observation_exchange.cc
@@ -27,7 +27,8 @@
 }
 
 void ObservationExchange::ScheduleRelay() {
-  if (stopped_ || !relay_.has_news() || std::exchange(relay_scheduled_, true)) {
+  if (stopped_ || !relay_.has_queued() ||
+      std::exchange(relay_scheduled_, true)) {
     return;
   }
   timer_.expires_after(observation::kRelayInterval);
@@ -40,7 +41,7 @@
 
 void ObservationExchange::Relay() {
   relay_scheduled_ = false;
-  const auto for_control_nodes = relay_.TakeForMachines();
+  const auto for_control_nodes = relay_.TakeForControlNodes();
   if (!for_control_nodes.empty()) {
     ports_.to_machines(for_control_nodes);
   }
--- a/source/common/control/rate_pool.cc
+++ b/source/common/control/rate_pool.cc
@@ -43,7 +43,7 @@
 std::unique_ptr<protocol::MemberHeartbeatT> RatePool::MakeReport(
     MonotonicTime now) {
   std::erase_if(sent_, [now](const auto& report) {
-    return now - report.second > quota::kRateLease;
+    return now - report.second > quota::kRateLeaseDuration;
   });
   auto item = std::make_unique<protocol::MemberHeartbeatT>();
   item->daemon_id = name_;
--- a/source/common/control/resource_api_rollouts.cc
+++ b/source/common/control/resource_api_rollouts.cc
@@ -163,8 +163,8 @@
     const rollout::Evidence evidence = ports_.rollouts().EvidenceOf(service);
     described["canary_answers"] = evidence.canary_answers;
     described["canary_bad"] = evidence.canary_bad;
-    described["other_answers"] = evidence.other_answers;
-    described["other_bad_share"] = evidence.other_bad_share;
+    described["other_answers"] = evidence.baseline_answers;
+    described["other_bad_share"] = evidence.baseline_bad_share;
     described["score"] = evidence.score;
     described["witnesses"] = evidence.witnesses;
   }
--- a/source/common/forwarding/backend_pool.cc
+++ b/source/common/forwarding/backend_pool.cc
@@ -366,7 +366,7 @@
   }
   switch (result) {
     case AttemptResult::kAnswered:
-      if (shared_failures_.IsKnown(backend.hash)) {
+      if (shared_failures_.HasFailures(backend.hash)) {
         observation_log_.OnAnswered(backend.hash, now);
       }
       break;
@@ -438,7 +438,7 @@
                                  MonotonicTime now) const {
   const auto found = services_.find(service);
   return found != services_.end() &&
-         found->second.canary_allowance.IsLapsed(now);
+         found->second.canary_allowance.IsLeaseExpired(now);
 }
 
 void BackendPool::OnSharesRenewed(
@@ -462,7 +462,7 @@
                                  MonotonicTime now) {
   Service& known = services_[service];
   known.budget.OnRequest(BudgetLimits(now), now);
-  known.canary_allowance.OnRequest(random_(), now);
+  known.canary_allowance.DrawRequest(random_(), now);
 }
 
 bool BackendPool::TryTakeExtraAttempt(const std::string& service,
--- a/source/common/forwarding/backend_pool_update.cc
+++ b/source/common/forwarding/backend_pool_update.cc
@@ -205,7 +205,7 @@
 }
 
 void BackendPool::UpdateRollouts(const session::FleetView& view) {
-  if (view.rollouts.empty() && !answer_tally_.counts_anything()) {
+  if (view.rollouts.empty() && !answer_tally_.has_rollouts()) {
     return;
   }
   std::map<std::string, rollout::RolloutNumber> numbers;
--- a/source/common/forwarding/observation_reporter.cc
+++ b/source/common/forwarding/observation_reporter.cc
@@ -17,7 +17,7 @@
     : log_(log), timer_(context) {}
 
 void ObservationReporter::OnAttemptsEnded() {
-  if (!log_.has_news() || !report_ || std::exchange(scheduled_, true)) {
+  if (!log_.has_pending() || !report_ || std::exchange(scheduled_, true)) {
     return;
   }
   timer_.expires_after(kReportDelay);
@@ -30,7 +30,7 @@
 
 void ObservationReporter::Send() {
   scheduled_ = false;
-  report_(log_.Take(observation::kMostEntries, ReadMonotonicClock()));
+  report_(log_.Take(observation::kMaximumDigestEntries, ReadMonotonicClock()));
   OnAttemptsEnded();
 }
 
--- a/source/common/forwarding/router_server.cc
+++ b/source/common/forwarding/router_server.cc
@@ -601,7 +601,7 @@
   // Reports canaries' answers before the next regular heartbeat, so that the
   // control group detects a bad version before it affects many requests.
   void ReportCanariesSoon() {
-    if (!pool_.answer_tally().has_news() || !request_heartbeat_) {
+    if (!pool_.answer_tally().has_new_canary_answers() || !request_heartbeat_) {
       return;
     }
     const MonotonicTime now = ReadMonotonicClock();
--- a/source/common/forwarding/tenant_admission.cc
+++ b/source/common/forwarding/tenant_admission.cc
@@ -44,12 +44,12 @@
   auto& queue = waiting_[tenant];
   queue.push_back({std::move(callback), now});
   ++waiting_count_;
-  leases_.SetWaiting(tenant, static_cast<std::uint32_t>(queue.size()));
+  leases_.SetQueued(tenant, static_cast<std::uint32_t>(queue.size()));
   ArmTimer();
 }
 
 void TenantAdmission::ReleaseToken(const std::string& tenant) {
-  leases_.GiveBack(tenant, ReadMonotonicClock());
+  leases_.ReleaseToken(tenant, ReadMonotonicClock());
 }
 
 std::optional<MonotonicTime> TenantAdmission::RenewToken(
@@ -102,7 +102,7 @@
     queue.pop_front();
   }
   waiting_count_ -= taken.size();
-  leases_.SetWaiting(tenant, static_cast<std::uint32_t>(queue.size()));
+  leases_.SetQueued(tenant, static_cast<std::uint32_t>(queue.size()));
   if (queue.empty()) {
     waiting_.erase(found);
   }
@@ -150,9 +150,9 @@
   });
 }
 
-quota::RateLeases::Insight TenantAdmission::Describe(
+quota::RateLeases::LeaseState TenantAdmission::Describe(
     const std::string& tenant) {
-  return leases_.Describe(tenant, ReadMonotonicClock());
+  return leases_.GetLeaseState(tenant, ReadMonotonicClock());
 }
 
 }  // namespace juniperway::forwarding
--- a/source/common/forwarding/tenant_admission.h
+++ b/source/common/forwarding/tenant_admission.h
@@ -64,11 +64,11 @@
   void OnGrants(const std::vector<quota::RateGrant>& grants, std::uint64_t term,
                 MonotonicTime report_sent_at);
 
-  quota::RateLeases::Insight Describe(const std::string& tenant);
+  quota::RateLeases::LeaseState Describe(const std::string& tenant);
   std::size_t waiting() const { return waiting_count_; }
 
   // How long after its admission a request may use its token.
-  static constexpr Duration kTokenTimeToLive = quota::kLongestGrantAge;
+  static constexpr Duration kTokenTimeToLive = quota::kMaximumGrantAge;
 
  private:
   struct Waiting {
--- a/source/common/observation/backend_observation.cc
+++ b/source/common/observation/backend_observation.cc
@@ -19,7 +19,7 @@
   return XXH32(incarnation.data(), incarnation.size(), /*seed=*/0);
 }
 
-void Merge(BackendObservation& into, const BackendObservation& more) {
+void AddCounts(BackendObservation& into, const BackendObservation& more) {
   into.failed = AddSaturated(into.failed, more.failed);
   into.answered = AddSaturated(into.answered, more.answered);
 }
--- a/source/common/observation/backend_observation.h
+++ b/source/common/observation/backend_observation.h
@@ -40,9 +40,9 @@
 using BackendObservations = std::vector<BackendObservation>;
 
 // Maximum number of observations in one message, which is then 1.2 KB long.
-inline constexpr std::size_t kMostEntries = 200;
+inline constexpr std::size_t kMaximumDigestEntries = 200;
 
 // Adds the counts of `more`, an observation of the same backend.
-void Merge(BackendObservation& into, const BackendObservation& more);
+void AddCounts(BackendObservation& into, const BackendObservation& more);
 
 }  // namespace juniperway::observation
--- a/source/common/observation/observation_log.cc
+++ b/source/common/observation/observation_log.cc
@@ -7,7 +7,8 @@
 namespace {
 
 bool IsRecent(MonotonicTime reported_at, MonotonicTime now) {
-  return reported_at != MonotonicTime::min() && now - reported_at < kMemory;
+  return reported_at != MonotonicTime::min() &&
+         now - reported_at < kObservationDecayTime;
 }
 
 }  // namespace
@@ -42,7 +43,7 @@
   if (now < next_removal_) {
     return;
   }
-  next_removal_ = now + kMemory;
+  next_removal_ = now + kObservationDecayTime;
   std::erase_if(report_times_, [now](const auto& entry) {
     return !IsRecent(entry.second.failed, now) &&
            !IsRecent(entry.second.answered, now);
--- a/source/common/observation/observation_log.h
+++ b/source/common/observation/observation_log.h
@@ -1,10 +1,10 @@
 // Collects what one router reports about backends. The router's BackendPool
 // owns it. Does no I/O: time is an argument.
 //
-// Within kMemory a router reports a backend at most once as failed and once as
-// answered, however many attempts it sends there. So reports grow with the
-// number of failing backends and not with the request rate, and one router with
-// a broken link cannot outvote the others.
+// Within kObservationDecayTime a router reports a backend at most once as
+// failed and once as answered, however many attempts it sends there. So reports
+// grow with the number of failing backends and not with the request rate, and
+// one router with a broken link cannot outvote the others.
 #pragma once
 
 #include <cstddef>
@@ -18,7 +18,7 @@
 // How long an observation of a backend counts, and the decay time of shared
 // failures (SharedFailures). Equals the time for which a router counts its own
 // failures (forwarding::FailureRate).
-inline constexpr Duration kMemory = seconds(8);
+inline constexpr Duration kObservationDecayTime = seconds(8);
 
 class ObservationLog {
  public:
@@ -27,7 +27,7 @@
   // failures at, so that healthy backends cause no reports.
   void OnAnswered(BackendHash backend, MonotonicTime now);
 
-  bool has_news() const { return !pending_.empty(); }
+  bool has_pending() const { return !pending_.empty(); }
   // Returns up to `maximum` pending observations, oldest first; later calls
   // return the rest.
   BackendObservations Take(std::size_t maximum, MonotonicTime now);
--- a/source/common/observation/observation_relay.cc
+++ b/source/common/observation/observation_relay.cc
@@ -10,7 +10,7 @@
   if (is_new) {
     order_.push_back(observation.backend);
   } else {
-    Merge(queued->second, observation);
+    AddCounts(queued->second, observation);
   }
 }
 
--- a/source/common/observation/observation_relay.h
+++ b/source/common/observation/observation_relay.h
@@ -5,11 +5,11 @@
 //
 // Traffic: all observations of one backend within kRelayInterval become one
 // entry of some 6 bytes, however many routers report it. A digest has at most
-// kMostEntries entries, so a daemon receives at most 12 KB/s whatever the size
-// of the fleet. Each control node sends a digest once to each of the others, so
-// that traffic between regions grows with the number of control nodes and
-// failing backends, not with routers. Observations beyond the maximum wait for
-// the next digest, oldest first.
+// kMaximumDigestEntries entries, so a daemon receives at most 12 KB/s whatever
+// the size of the fleet. Each control node sends a digest once to each of the
+// others, so that traffic between regions grows with the number of control
+// nodes and failing backends, not with routers. Observations beyond the maximum
+// wait for the next digest, oldest first.
 #pragma once
 
 #include <cstddef>
@@ -45,14 +45,14 @@
   // Adds a digest from another control node.
   void OnDigest(const BackendObservations& observations);
 
-  bool has_news() const {
+  bool has_queued() const {
     return !for_control_nodes_.empty() || !for_daemons_.empty();
   }
-  BackendObservations TakeForMachines() {
-    return for_control_nodes_.Take(kMostEntries);
+  BackendObservations TakeForControlNodes() {
+    return for_control_nodes_.Take(kMaximumDigestEntries);
   }
   BackendObservations TakeForDaemons() {
-    return for_daemons_.Take(kMostEntries);
+    return for_daemons_.Take(kMaximumDigestEntries);
   }
 
  private:
--- a/source/common/observation/shared_failures.cc
+++ b/source/common/observation/shared_failures.cc
@@ -22,13 +22,14 @@
 }
 
 double SharedFailures::DecayFactor(const Rate& rate, MonotonicTime now) {
-  return std::exp(-ToSeconds(now - rate.decayed_at) / ToSeconds(kMemory));
+  return std::exp(-ToSeconds(now - rate.decayed_at) /
+                  ToSeconds(kObservationDecayTime));
 }
 
 void SharedFailures::Add(const BackendObservation& observation,
                          MonotonicTime now) {
   RemoveExpired(now);
-  if (observation.failed == 0 && !IsKnown(observation.backend)) {
+  if (observation.failed == 0 && !HasFailures(observation.backend)) {
     return;
   }
   Rate& rate = rates_[observation.backend];
@@ -55,7 +56,7 @@
   if (now < next_removal_) {
     return;
   }
-  next_removal_ = now + kMemory;
+  next_removal_ = now + kObservationDecayTime;
   std::erase_if(rates_, [now](const auto& entry) {
     return entry.second.failed * DecayFactor(entry.second, now) <
            kNegligibleFailures;
--- a/source/common/observation/shared_failures.h
+++ b/source/common/observation/shared_failures.h
@@ -28,7 +28,7 @@
 
   // Whether another router has reported failures of the backend that have not
   // decayed yet.
-  bool IsKnown(BackendHash backend) const {
+  bool HasFailures(BackendHash backend) const {
     return !rates_.empty() && rates_.contains(backend);
   }
   // Returns the suspicion, the share of failures of the backend, or 0 if it is
@@ -39,7 +39,7 @@
   std::size_t size() const { return rates_.size(); }
 
  private:
-  // Counts that decay to 1 / e within kMemory.
+  // Counts that decay to 1 / e within kObservationDecayTime.
   struct Rate {
     double failed = 0;
     double answered = 0;
--- a/source/common/quota/fleet_rate.cc
+++ b/source/common/quota/fleet_rate.cc
@@ -79,7 +79,7 @@
       tolerance_.overage *
           (limit_.per_second * ToSeconds(tolerance_.window) + limit_.burst) +
       tolerance_.slack -
-      limit_.per_second * ToSeconds(kLongestGrantAge) * kGrantHops -
+      limit_.per_second * ToSeconds(kMaximumGrantAge) * kGrantHops -
       kUnsentRequests;
   return std::max(0.0, room);
 }
@@ -133,11 +133,12 @@
                   [&](const OutstandingGrant& grant_in_use) {
                     return grant_in_use.number < request.held_grant;
                   });
-  } else if (unknown.any() && request.held_left > Duration(0)) {
-    const double remaining_time = ToSeconds(request.held_left) * (1 + drift_);
+  } else if (unknown.any() && request.held_remaining > Duration(0)) {
+    const double remaining_time =
+        ToSeconds(request.held_remaining) * (1 + drift_);
     holder.outstanding.push_front({.number = request.held_grant,
                                    .rate = request.held_rate,
-                                   .stock = request.held_stock,
+                                   .stock = request.held_reserved_tokens,
                                    .end = now + FromSeconds(remaining_time)});
   }
 }
@@ -221,25 +222,26 @@
   grant.key = request.key;
   grant.number = number;
   grant.rate = share.rate;
-  grant.stock = share.stock;
-  grant.lease = kRateLease;
+  grant.reserved_tokens = share.stock;
+  grant.lease = kRateLeaseDuration;
   const Duration lease_with_drift =
-      FromSeconds(ToSeconds(kRateLease) * (1 + drift_));
+      FromSeconds(ToSeconds(kRateLeaseDuration) * (1 + drift_));
   holder.outstanding.push_back({.number = number,
                                 .rate = grant.rate,
-                                .stock = grant.stock,
+                                .stock = grant.reserved_tokens,
                                 .end = now + lease_with_drift});
   // The grant may have raised the sum of the reserves, which lowers the
   // capacity of the bucket.
   tokens_ = std::min(tokens_, Capacity(unknown));
 
-  grant.tokens = TakeTokens(request.waiting);
-  if (grant.tokens < request.waiting) {
+  grant.tokens = TakeTokens(request.queued_requests);
+  if (grant.tokens < request.queued_requests) {
     grant.wait = WaitForToken();
     return grant;
   }
   // Half of the remaining tokens stay for requests queued at other routers.
-  const auto room = std::min(static_cast<double>(request.room), grant.stock);
+  const auto room = std::min(static_cast<double>(request.missing_reserve),
+                             grant.reserved_tokens);
   grant.tokens += TakeTokens(
       static_cast<std::uint32_t>(std::min(room, std::max(0.0, tokens_) / 2)));
   return grant;
--- a/source/common/quota/fleet_rate.h
+++ b/source/common/quota/fleet_rate.h
@@ -14,7 +14,7 @@
 //   - the reserves that holders had at the begin of W,
 //   - rate x W, which leases and the bucket bring in together,
 //   - the content of the bucket, which is at most its capacity,
-//   - the tokens in flight, rate x kLongestGrantAge x kGrantHops.
+//   - the tokens in flight, rate x kMaximumGrantAge x kGrantHops.
 // The capacity is the remainder of the tolerance after the other terms, so that
 // the sum stays below (rate x W + burst) x (1 + overage) + slack. A grant
 // counts from before it is sent until the holder has confirmed a later one, or
--- a/source/common/quota/rate_granter.cc
+++ b/source/common/quota/rate_granter.cc
@@ -19,9 +19,10 @@
   grants_ = term << kTermShift;
   unreported_routers_ = std::move(routers);
   unreported_pools_ = std::move(pools);
-  assumed_until_ = now + kRateLease +
-                   Duration(static_cast<Duration::rep>(
-                       drift_ * static_cast<double>(kRateLease.count())));
+  assumed_until_ =
+      now + kRateLeaseDuration +
+      Duration(static_cast<Duration::rep>(
+          drift_ * static_cast<double>(kRateLeaseDuration.count())));
   const bool all_known =
       unreported_routers_.empty() && unreported_pools_.empty();
   known_since_ = all_known ? now : assumed_until_;
@@ -121,10 +122,10 @@
   }
   for (const auto& [key, limit] : limits_) {
     if (!requested_keys.contains(key)) {
-      const RateRequest request{
-          .key = key,
-          .is_pool = true,
-          .room = static_cast<std::uint32_t>(FleetRate::kPoolBaseReserve)};
+      const RateRequest request{.key = key,
+                                .is_pool = true,
+                                .missing_reserve = static_cast<std::uint32_t>(
+                                    FleetRate::kPoolBaseReserve)};
       grants.push_back(Grant(sender, request, limit, now));
     }
   }
--- a/source/common/quota/rate_leases.cc
+++ b/source/common/quota/rate_leases.cc
@@ -53,13 +53,13 @@
   return true;
 }
 
-void RateLeases::GiveBack(const std::string& key, MonotonicTime now) {
+void RateLeases::ReleaseToken(const std::string& key, MonotonicTime now) {
   Entry& entry = entries_[key];
   Advance(entry, now);
   KeepTokens(entry, entry.tokens + 1);
 }
 
-void RateLeases::SetWaiting(const std::string& key, std::uint32_t waiting) {
+void RateLeases::SetQueued(const std::string& key, std::uint32_t waiting) {
   entries_[key].waiting = waiting;
 }
 
@@ -88,15 +88,15 @@
   if (now < entry.end) {
     request.held_grant = entry.grant;
     request.held_rate = entry.rate;
-    request.held_stock = entry.stock;
-    request.held_left = entry.end - now;
+    request.held_reserved_tokens = entry.stock;
+    request.held_remaining = entry.end - now;
   }
   // With a demand of zero, the leader releases the lease.
   const double demand = DemandOf(entry);
   request.demand = demand < options_.minimum_demand ? 0 : demand;
   // An answer that comes later than this is ignored.
   std::erase_if(entry.unanswered, [now](const TokenRequest& unanswered) {
-    return now - unanswered.at > kLongestGrantAge;
+    return now - unanswered.at > kMaximumGrantAge;
   });
   std::uint32_t requested_waiting = 0;
   std::uint32_t requested_reserve = 0;
@@ -104,18 +104,21 @@
     requested_waiting += unanswered.waiting;
     requested_reserve += unanswered.room;
   }
-  request.waiting = entry.waiting - std::min(entry.waiting, requested_waiting);
+  request.queued_requests =
+      entry.waiting - std::min(entry.waiting, requested_waiting);
   // Without a lease, the reserve is assumed to be one token; the leader bounds
   // it.
   const bool has_stock = now < entry.end && entry.stock > 0;
   const double stock = has_stock ? entry.stock : 1;
   const double room = std::floor(std::max(0.0, stock - entry.tokens));
   if (request.demand > 0 && room > requested_reserve) {
-    request.room = static_cast<std::uint32_t>(room) - requested_reserve;
+    request.missing_reserve =
+        static_cast<std::uint32_t>(room) - requested_reserve;
   }
   request.returned = entry.returned;
-  if (request.waiting > 0 || request.room > 0) {
-    entry.unanswered.push_back({now, request.waiting, request.room});
+  if (request.queued_requests > 0 || request.missing_reserve > 0) {
+    entry.unanswered.push_back(
+        {now, request.queued_requests, request.missing_reserve});
   }
   return request;
 }
@@ -175,21 +178,21 @@
   Advance(entry, now);
   if (is_from_pool) {
     return UseTokens(entry,
-                     now - requested_at > kLongestGrantAge ? 0 : grant.tokens);
+                     now - requested_at > kMaximumGrantAge ? 0 : grant.tokens);
   }
   std::erase_if(entry.unanswered,
                 [requested_at](const TokenRequest& unanswered) {
                   return unanswered.at <= requested_at;
                 });
-  if (grant.number <= entry.grant || now - requested_at > kLongestGrantAge) {
+  if (grant.number <= entry.grant || now - requested_at > kMaximumGrantAge) {
     entry.returned += grant.tokens;
     return 0;
   }
   entry.grant = grant.number;
   entry.rate = grant.rate;
-  entry.stock = grant.stock;
+  entry.stock = grant.reserved_tokens;
   entry.requested_at = requested_at;
-  const bool is_empty = grant.rate <= 0 && grant.stock <= 0;
+  const bool is_empty = grant.rate <= 0 && grant.reserved_tokens <= 0;
   entry.end = is_empty ? MonotonicTime::min() : requested_at + grant.lease;
   if (grant.wait > Duration(0)) {
     entry.exhausted_until = now + grant.wait;
@@ -206,8 +209,8 @@
   return used;
 }
 
-RateLeases::Insight RateLeases::Describe(const std::string& key,
-                                         MonotonicTime now) {
+RateLeases::LeaseState RateLeases::GetLeaseState(const std::string& key,
+                                                 MonotonicTime now) {
   Entry& entry = entries_[key];
   Advance(entry, now);
   if (now >= entry.end) {
--- a/source/common/quota/rate_leases.h
+++ b/source/common/quota/rate_leases.h
@@ -46,9 +46,9 @@
   // @return whether a token was taken.
   bool TryTake(const std::string& key, MonotonicTime now);
   // Releases the token of a request that was not sent and will not be sent.
-  void GiveBack(const std::string& key, MonotonicTime now);
+  void ReleaseToken(const std::string& key, MonotonicTime now);
   // Sets the number of requests that are queued for a token of the key.
-  void SetWaiting(const std::string& key, std::uint32_t waiting);
+  void SetQueued(const std::string& key, std::uint32_t waiting);
 
   // True if requests are queued for the key or less than one token remains, so
   // that the holder should send a report soon.
@@ -59,7 +59,7 @@
 
   RateReport MakeReport(MonotonicTime now);
   // Applies a grant. Ignores a lease, and returns its tokens to the leader, if
-  // the grant arrives more than kLongestGrantAge after the report. Grants of
+  // the grant arrives more than kMaximumGrantAge after the report. Grants of
   // pools (number 0) have tokens and no lease.
   // @param term of the leader that made the grant.
   // @param requested_at when the report was made that the grant answers.
@@ -68,14 +68,14 @@
                         MonotonicTime requested_at, MonotonicTime now);
 
   // State of the lease of one key, for the log.
-  struct Insight {
+  struct LeaseState {
     std::uint64_t grant = 0;
     double rate = 0;
     double tokens = 0;
     // Time since the holder requested the grant; zero if there is no grant.
     Duration age{};
   };
-  Insight Describe(const std::string& key, MonotonicTime now);
+  LeaseState GetLeaseState(const std::string& key, MonotonicTime now);
 
  private:
   // Tokens requested in a report that has not been answered yet.
--- a/source/common/quota/rate_messages.h
+++ b/source/common/quota/rate_messages.h
@@ -21,16 +21,16 @@
   // Leased rate, maximum reserve and remaining lease time of that grant, for a
   // leader that did not make the grant.
   double held_rate = 0;
-  double held_stock = 0;
-  Duration held_left{};
+  double held_reserved_tokens = 0;
+  Duration held_remaining{};
   // Recent requests a second at the holder, refused ones included.
   double demand = 0;
   // Requests queued for a token, without those for which an unanswered report
   // has requested one.
-  std::uint32_t waiting = 0;
+  std::uint32_t queued_requests = 0;
   // Tokens that fit into the holder's reserve and that no unanswered report has
   // requested.
-  std::uint32_t room = 0;
+  std::uint32_t missing_reserve = 0;
   // Tokens that the holder got since its process started and neither used nor
   // kept. The leader grants them again.
   double returned = 0;
@@ -44,7 +44,7 @@
 };
 
 // Term of grants that a pool makes without the leader.
-inline constexpr std::uint64_t kAnyTerm = 0;
+inline constexpr std::uint64_t kPoolGrantTerm = 0;
 
 // The leader's answer for one key. It replaces the grant before it.
 struct RateGrant {
@@ -55,7 +55,7 @@
   // Tokens a second that the holder's reserve gains while the lease lasts.
   double rate = 0;
   // Maximum number of tokens that the holder may have in reserve.
-  double stock = 0;
+  double reserved_tokens = 0;
   // Counted from the time of the holder's report.
   Duration lease{};
   // Tokens for the queued requests; the rest goes into the reserve.
--- a/source/common/rollout/answer_tally.cc
+++ b/source/common/rollout/answer_tally.cc
@@ -34,7 +34,7 @@
     ++counts.untimed;
   }
   changed_.insert(group);
-  has_news_ = has_news_ || group.canary;
+  has_new_canary_answers_ = has_new_canary_answers_ || group.canary;
 }
 
 std::vector<AnswerReport> AnswerTally::MakeReport() {
@@ -49,7 +49,7 @@
                       .counts = counts_.at(group)});
     changed_.erase(group);
   }
-  has_news_ = false;
+  has_new_canary_answers_ = false;
   return report;
 }
 
--- a/source/common/rollout/answer_tally.h
+++ b/source/common/rollout/answer_tally.h
@@ -33,7 +33,7 @@
   // Sets the running rollouts, by service. Discards the counts of all other
   // rollouts.
   void SetRollouts(const std::map<std::string, RolloutNumber>& rollouts);
-  bool counts_anything() const { return !rollouts_.empty(); }
+  bool has_rollouts() const { return !rollouts_.empty(); }
   bool IsCounted(const std::string& service) const {
     return rollouts_.contains(service);
   }
@@ -47,13 +47,13 @@
   // Makes the next reports contain all groups again, for a new leader.
   void ReportAllAgain();
   // Whether canaries have answered since the last report.
-  bool has_news() const { return has_news_; }
+  bool has_new_canary_answers() const { return has_new_canary_answers_; }
 
  private:
   std::map<std::string, RolloutNumber> rollouts_;
   std::map<AnswerGroup, AnswerCounts> counts_;
   std::set<AnswerGroup> changed_;
-  bool has_news_ = false;
+  bool has_new_canary_answers_ = false;
 };
 
 }  // namespace juniperway::rollout
--- a/source/common/rollout/canary_allowance.h
+++ b/source/common/rollout/canary_allowance.h
@@ -49,12 +49,12 @@
 
   // Whether the ordered share is above the base share and no lease on it is in
   // force.
-  bool IsLapsed(MonotonicTime now) const { return ShareAt(now) < share_; }
+  bool IsLeaseExpired(MonotonicTime now) const { return ShareAt(now) < share_; }
 
   // Draws whether a request goes to the canaries. The router calls it once per
   // request, before the first attempt.
   // @param random uniformly distributed.
-  void OnRequest(std::uint64_t random, MonotonicTime now) {
+  void DrawRequest(std::uint64_t random, MonotonicTime now) {
     drawn_ = random % kWholePermille < ShareAt(now);
   }
   // Whether the request was drawn and has not been sent to a canary yet.
--- a/source/common/rollout/rollout_judge.cc
+++ b/source/common/rollout/rollout_judge.cc
@@ -99,11 +99,11 @@
   }
 }
 
-std::vector<NamedStep> RolloutJudge::TakeSteps(const Rollouts& rollouts,
-                                               const Fleet& fleet,
-                                               MonotonicTime now) {
+std::vector<ServiceStep> RolloutJudge::TakeSteps(const Rollouts& rollouts,
+                                                 const Fleet& fleet,
+                                                 MonotonicTime now) {
   RemoveEnded(rollouts);
-  std::vector<NamedStep> steps;
+  std::vector<ServiceStep> steps;
   for (const auto& [service, rollout] : rollouts) {
     if (!rollout.running()) {
       continue;
@@ -140,7 +140,7 @@
         .canaries_worse = evaluation.comparison.IsWorse(fleet.routers),
         .relative_score = evaluation.comparison.RelativeScore(),
         .canary_answers = evidence.canary_answers,
-        .baseline_answers = evidence.other_answers,
+        .baseline_answers = evidence.baseline_answers,
         .canary_backends =
             fleet.count_backends(service, rollout.target_version),
         .change_confirmed = phase_confirmed,
--- a/source/common/rollout/rollout_judge.h
+++ b/source/common/rollout/rollout_judge.h
@@ -18,7 +18,7 @@
 
 namespace juniperway::rollout {
 
-struct NamedStep {
+struct ServiceStep {
   std::string service;
   RolloutNumber rollout = 0;
   RolloutStep step;
@@ -48,7 +48,9 @@
                 const Rollouts& rollouts, MonotonicTime now);
 
   // Records that the router has reported all of its counts to this leader.
-  void OnHeard(const std::string& router) { reported_routers_.insert(router); }
+  void OnFullReport(const std::string& router) {
+    reported_routers_.insert(router);
+  }
 
   // What the leader knows of the fleet.
   struct Fleet {
@@ -63,8 +65,8 @@
   };
   // Returns the steps that are due. The same step is returned again until
   // `rollouts` contains it.
-  std::vector<NamedStep> TakeSteps(const Rollouts& rollouts, const Fleet& fleet,
-                                   MonotonicTime now);
+  std::vector<ServiceStep> TakeSteps(const Rollouts& rollouts,
+                                     const Fleet& fleet, MonotonicTime now);
 
   // Returns the rollouts whose routers may use a share above the base share, as
   // of the last TakeSteps call.
--- a/source/common/rollout/version_comparison.cc
+++ b/source/common/rollout/version_comparison.cc
@@ -283,14 +283,14 @@
 
 Evidence VersionComparison::Describe() const {
   const CumulativeSum& worst = WorstSum();
-  return {
-      .canary_answers = canary_answers_,
-      .canary_bad = canary_bad_,
-      .other_answers = baseline_answers_,
-      .other_bad_share = std::max(all_routes_.AllowedBadShare(Badness::kFailed),
-                                  all_routes_.AllowedBadShare(Badness::kSlow)),
-      .score = worst.score,
-      .witnesses = worst.witnesses.size()};
+  return {.canary_answers = canary_answers_,
+          .canary_bad = canary_bad_,
+          .baseline_answers = baseline_answers_,
+          .baseline_bad_share =
+              std::max(all_routes_.AllowedBadShare(Badness::kFailed),
+                       all_routes_.AllowedBadShare(Badness::kSlow)),
+          .score = worst.score,
+          .witnesses = worst.witnesses.size()};
 }
 
 }  // namespace juniperway::rollout
--- a/source/common/rollout/version_comparison.h
+++ b/source/common/rollout/version_comparison.h
@@ -42,8 +42,8 @@
 struct Evidence {
   std::uint64_t canary_answers = 0;
   std::uint64_t canary_bad = 0;
-  std::uint64_t other_answers = 0;
-  double other_bad_share = 0;
+  std::uint64_t baseline_answers = 0;
+  double baseline_bad_share = 0;
   // Highest cumulative sum of all routes.
   double score = 0;
   // Number of witnesses: routers that reported bad canary answers which count
--- a/source/common/session/control_session_client.cc
+++ b/source/common/session/control_session_client.cc
@@ -341,7 +341,7 @@
     const MonotonicTime now = Now();
     reports_sent_[content.sequence] = now;
     std::erase_if(reports_sent_, [now](const auto& report) {
-      return now - report.second > quota::kRateLease;
+      return now - report.second > quota::kRateLeaseDuration;
     });
     if (rate_ports_.make_report) {
       EncodeRateReport(rate_ports_.make_report(now), heartbeat);
@@ -381,8 +381,8 @@
     const auto sent = reports_sent_.find(tokens.sequence);
     if (sent != reports_sent_.end() && rate_ports_.on_grants) {
       // Tokens of a pool are good under any leader.
-      rate_ports_.on_grants(DecodeRateGrants(tokens.grants), quota::kAnyTerm,
-                            sent->second);
+      rate_ports_.on_grants(DecodeRateGrants(tokens.grants),
+                            quota::kPoolGrantTerm, sent->second);
     }
   }
 
--- a/source/common/session/rate_codec.cc
+++ b/source/common/session/rate_codec.cc
@@ -14,11 +14,11 @@
     record->is_pool = request.is_pool;
     record->held_grant = request.held_grant;
     record->held_rate = request.held_rate;
-    record->held_stock = request.held_stock;
-    record->held_left_us = request.held_left.count();
+    record->held_stock = request.held_reserved_tokens;
+    record->held_left_us = request.held_remaining.count();
     record->demand = request.demand;
-    record->waiting = request.waiting;
-    record->room = request.room;
+    record->waiting = request.queued_requests;
+    record->room = request.missing_reserve;
     record->returned = request.returned;
     heartbeat.rate_requests.push_back(std::move(record));
   }
@@ -32,11 +32,11 @@
                                .is_pool = record->is_pool,
                                .held_grant = record->held_grant,
                                .held_rate = record->held_rate,
-                               .held_stock = record->held_stock,
-                               .held_left = Duration(record->held_left_us),
+                               .held_reserved_tokens = record->held_stock,
+                               .held_remaining = Duration(record->held_left_us),
                                .demand = record->demand,
-                               .waiting = record->waiting,
-                               .room = record->room,
+                               .queued_requests = record->waiting,
+                               .missing_reserve = record->room,
                                .returned = record->returned});
   }
   return report;
@@ -49,7 +49,7 @@
     record->key = grant.key;
     record->number = grant.number;
     record->rate = grant.rate;
-    record->stock = grant.stock;
+    record->stock = grant.reserved_tokens;
     record->lease_us = grant.lease.count();
     record->tokens = grant.tokens;
     record->wait_us = grant.wait.count();
@@ -66,7 +66,7 @@
     grants.push_back({.key = record->key,
                       .number = record->number,
                       .rate = record->rate,
-                      .stock = record->stock,
+                      .reserved_tokens = record->stock,
                       .lease = Duration(record->lease_us),
                       .tokens = record->tokens,
                       .wait = Duration(record->wait_us)});
--- a/test/property/quota/quota_world.cc
+++ b/test/property/quota/quota_world.cc
@@ -183,13 +183,13 @@
   auto& waiting = router.waiting[tenant.name];
   const std::uint64_t number = ++last_request_;
   waiting.push_back(number);
-  router.leases.SetWaiting(tenant.name,
-                           static_cast<std::uint32_t>(waiting.size()));
+  router.leases.SetQueued(tenant.name,
+                          static_cast<std::uint32_t>(waiting.size()));
   SendHeartbeat(index);
   At(now_ + kTokenTimeout, [this, index, number, &tenant] {
     auto& queue = routers_[index].waiting[tenant.name];
     if (std::erase(queue, number) > 0) {
-      routers_[index].leases.SetWaiting(
+      routers_[index].leases.SetQueued(
           tenant.name, static_cast<std::uint32_t>(queue.size()));
     }
   });
@@ -258,7 +258,8 @@
     At(Arrival(router.partitioned_until, kMaximumZoneDelay,
                router.last_to_router),
        [this, index, incarnation, grants, requested_at] {
-         OnReply(index, incarnation, grants, quota::kAnyTerm, requested_at);
+         OnReply(index, incarnation, grants, quota::kPoolGrantTerm,
+                 requested_at);
        });
   }
   At(Arrival(pool.partitioned_until, kMaximumRegionDelay, pool.last_to_leader),
@@ -369,8 +370,8 @@
     if (grant.wait > Duration(0)) {
       waiting.clear();
     }
-    router.leases.SetWaiting(grant.key,
-                             static_cast<std::uint32_t>(waiting.size()));
+    router.leases.SetQueued(grant.key,
+                            static_cast<std::uint32_t>(waiting.size()));
   }
 }
 
--- a/test/property/rollout/rollout_world.cc
+++ b/test/property/rollout/rollout_world.cc
@@ -195,7 +195,7 @@
     if (options_.ignores_share_lease) {
       router.allowance.Renew(MonotonicTime::max());
     }
-    router.allowance.OnRequest(random_(), now_);
+    router.allowance.DrawRequest(random_(), now_);
     const bool is_allowed =
         options_.ignores_share || router.allowance.MaySend();
     canary = is_allowed && canaries_listed;
@@ -265,7 +265,7 @@
     }
     router.tally.Count({.service = kService, .route = route, .canary = canary},
                        observation);
-    if (router.tally.has_news()) {
+    if (router.tally.has_new_canary_answers()) {
       router.next_report =
           std::min(router.next_report, now_ + kCanaryReportInterval);
     }
@@ -304,7 +304,7 @@
   judge_.OnReport(facts.daemon.daemon_id, facts.daemon.incarnation, reports,
                   rollouts_, now_);
   if (facts.term == term_) {
-    judge_.OnHeard(facts.daemon.daemon_id);
+    judge_.OnFullReport(facts.daemon.daemon_id);
   }
   AnswerHeartbeat(router, facts.daemon.incarnation, outcome, sent_at);
 }
@@ -352,7 +352,7 @@
           [this](const std::string&, const std::string&) {
             return now_ >= ordered_at_ + kCanariesAfter ? std::size_t{3} : 0;
           }};
-  for (const rollout::NamedStep& due :
+  for (const rollout::ServiceStep& due :
        judge_.TakeSteps(rollouts_, fleet, now_)) {
     step_in_flight_ = true;
     // The step is replicated first, then sent to all routers.
--- a/test/unit/forwarding/shared_observations_test.cc
+++ b/test/unit/forwarding/shared_observations_test.cc
@@ -126,9 +126,9 @@
   void RelayObservations() {
     for (std::size_t router = 0; router < kRouters; ++router) {
       auto& log = pools_[router]->observation_log();
-      if (log.has_news()) {
+      if (log.has_pending()) {
         relays_[router % kControlNodes].OnReport(
-            log.Take(observation::kMostEntries, now_));
+            log.Take(observation::kMaximumDigestEntries, now_));
       }
     }
     if (now_ < next_relay_) {
@@ -136,7 +136,7 @@
     }
     next_relay_ = now_ + observation::kRelayInterval;
     for (std::size_t node = 0; node < kControlNodes; ++node) {
-      const auto digest = relays_[node].TakeForMachines();
+      const auto digest = relays_[node].TakeForControlNodes();
       for (std::size_t other = 0; other < kControlNodes; ++other) {
         if (other != node) {
           relays_[other].OnDigest(digest);
--- a/test/unit/observation/observation_log_test.cc
+++ b/test/unit/observation/observation_log_test.cc
@@ -19,16 +19,16 @@
   REQUIRE(reported.size() == 2);
   CHECK(reported[0] == BackendObservation{.backend = 7, .failed = 1});
   CHECK(reported[1] == BackendObservation{.backend = 7, .answered = 1});
-  CHECK_FALSE(log.has_news());
+  CHECK_FALSE(log.has_pending());
 }
 
 TEST_CASE("a backend that keeps failing is reported again after kMemory") {
   ObservationLog log;
   log.OnFailed(7, kStart);
-  log.OnFailed(7, kStart + kMemory - microseconds(1));
+  log.OnFailed(7, kStart + kObservationDecayTime - microseconds(1));
   CHECK(log.Take(kAll, kStart).size() == 1);
-  log.OnFailed(7, kStart + kMemory);
-  CHECK(log.Take(kAll, kStart + kMemory).size() == 1);
+  log.OnFailed(7, kStart + kObservationDecayTime);
+  CHECK(log.Take(kAll, kStart + kObservationDecayTime).size() == 1);
 }
 
 TEST_CASE("observations beyond the maximum come with the next report") {
--- a/test/unit/observation/observation_relay_test.cc
+++ b/test/unit/observation/observation_relay_test.cc
@@ -24,7 +24,7 @@
     std::vector<BackendObservations> digests;
     digests.reserve(kControlNodes);
     for (ObservationRelay& control_node : relays) {
-      digests.push_back(control_node.TakeForMachines());
+      digests.push_back(control_node.TakeForControlNodes());
       CHECK(digests.back().size() == kFailing);
     }
     for (std::size_t receiver = 0; receiver < kControlNodes; ++receiver) {
@@ -35,7 +35,7 @@
       }
       CHECK(relays[receiver].TakeForDaemons().size() == kFailing);
       // A control node does not forward a digest to other control nodes.
-      CHECK_FALSE(relays[receiver].has_news());
+      CHECK_FALSE(relays[receiver].has_queued());
     }
   }
 }
@@ -43,14 +43,15 @@
 TEST_CASE("a digest is bounded, and the next ones hold the rest") {
   ObservationRelay relay;
   BackendObservations report;
-  for (BackendHash backend = 0; backend < 3 * kMostEntries; ++backend) {
+  for (BackendHash backend = 0; backend < 3 * kMaximumDigestEntries;
+       ++backend) {
     report.push_back({.backend = backend, .failed = 1});
   }
   relay.OnReport(report);
-  relay.TakeForMachines();
+  relay.TakeForControlNodes();
   CHECK(relay.TakeForDaemons().front().backend == 0);
-  CHECK(relay.TakeForDaemons().front().backend == kMostEntries);
-  CHECK(relay.TakeForDaemons().size() == kMostEntries);
+  CHECK(relay.TakeForDaemons().front().backend == kMaximumDigestEntries);
+  CHECK(relay.TakeForDaemons().size() == kMaximumDigestEntries);
   CHECK(relay.TakeForDaemons().empty());
 }
 
--- a/test/unit/observation/shared_failures_test.cc
+++ b/test/unit/observation/shared_failures_test.cc
@@ -56,11 +56,12 @@
   SharedFailures failures(1);
   failures.Add({.backend = kBackend, .answered = 9}, kStart);
   CHECK(failures.size() == 0);
-  CHECK_FALSE(failures.IsKnown(kBackend));
+  CHECK_FALSE(failures.HasFailures(kBackend));
   failures.Add({.backend = kBackend, .failed = 9}, kStart);
-  CHECK(failures.IsKnown(kBackend));
-  failures.Add({.backend = kBackend + 1, .failed = 1}, kStart + 10 * kMemory);
-  CHECK_FALSE(failures.IsKnown(kBackend));
+  CHECK(failures.HasFailures(kBackend));
+  failures.Add({.backend = kBackend + 1, .failed = 1},
+               kStart + 10 * kObservationDecayTime);
+  CHECK_FALSE(failures.HasFailures(kBackend));
 }
 
 TEST_CASE("observations of other backends cause no suspicion") {
--- a/test/unit/quota/fleet_rate_test.cc
+++ b/test/unit/quota/fleet_rate_test.cc
@@ -28,7 +28,7 @@
     const RateRequest request{.key = "t",
                               .held_grant = held_grants[router],
                               .demand = demand,
-                              .waiting = waiting};
+                              .queued_requests = waiting};
     RateGrant grant = rate.Grant(router, request, ++number, unknown, now);
     held_grants[router] = grant.number;
     return grant;
@@ -39,8 +39,8 @@
   Rate rate;
   const RateGrant grant = rate.RequestGrant("a", 2);
   CHECK(grant.rate == doctest::Approx(2 * FleetRate::kRateMargin));
-  CHECK(grant.stock == doctest::Approx(2));
-  CHECK(grant.lease == kRateLease);
+  CHECK(grant.reserved_tokens == doctest::Approx(2));
+  CHECK(grant.lease == kRateLeaseDuration);
 }
 
 TEST_CASE("the sum of the leased rates never exceeds the routers' share") {
@@ -110,7 +110,7 @@
 TEST_CASE("an unresponsive router's lease counts until it has expired") {
   Rate rate;
   rate.RequestGrant("a", 6);
-  rate.now += kRateLease;
+  rate.now += kRateLeaseDuration;
   rate.RequestGrant("b", 0);
   CHECK(rate.rate.LeasedRate() == doctest::Approx(2.5));
   rate.now += milliseconds(60);  // 1 % of drift
@@ -136,12 +136,12 @@
 
 TEST_CASE("a router with little demand has no reserve, a pool always has one") {
   Rate rate;
-  CHECK(rate.RequestGrant("a", 0.4).stock == 0);
+  CHECK(rate.RequestGrant("a", 0.4).reserved_tokens == 0);
   CHECK(rate.RequestGrant("a", 0.4).rate == 0);
   const RateRequest request{.key = "t", .is_pool = true, .demand = 0.4};
   const RateGrant grant =
       rate.rate.Grant("pool", request, ++rate.number, {}, rate.now);
-  CHECK(grant.stock == doctest::Approx(2.4));
+  CHECK(grant.reserved_tokens == doctest::Approx(2.4));
   CHECK(grant.rate == doctest::Approx(0.5));
 }
 
@@ -160,17 +160,17 @@
   const RateRequest reported{.key = "t",
                              .held_grant = 77,
                              .held_rate = 2,
-                             .held_stock = 3,
-                             .held_left = seconds(3),
+                             .held_reserved_tokens = 3,
+                             .held_remaining = seconds(3),
                              .demand = 4};
   const RateGrant grant =
       rate.rate.Grant("a", reported, ++rate.number, kUnknown, rate.now);
   CHECK(grant.rate == doctest::Approx(2));
-  CHECK(grant.stock == doctest::Approx(3));
+  CHECK(grant.reserved_tokens == doctest::Approx(3));
   // Routers that have not reported may hold the rest of the routers' share.
   const RateGrant other = rate.RequestGrant("b", 4, 0, kUnknown);
   CHECK(other.rate == 0);
-  CHECK(other.stock == 0);
+  CHECK(other.reserved_tokens == 0);
   // Tokens come in at the rate less 2.5 for routers and 5 / 3 that the unknown
   // pool may hold.
   rate.now += seconds(2);
@@ -186,7 +186,7 @@
   const RateGrant grant =
       rate.rate.Grant("pool", request, ++rate.number, one_pool, rate.now);
   CHECK(grant.rate == doctest::Approx(FleetRate::kRateMargin));
-  CHECK(grant.stock == doctest::Approx(3));
+  CHECK(grant.reserved_tokens == doctest::Approx(3));
 }
 
 TEST_CASE("one pool gets at most kOnePoolShare of the amount for pools") {
@@ -195,16 +195,16 @@
   const RateGrant grant =
       rate.rate.Grant("pool", request, ++rate.number, {}, rate.now);
   CHECK(grant.rate == doctest::Approx(5.0 / 3));
-  CHECK(grant.stock == doctest::Approx(19 * 2.0 / 9));
+  CHECK(grant.reserved_tokens == doctest::Approx(19 * 2.0 / 9));
 }
 
 TEST_CASE("without tolerance there are no reserves") {
   FleetRate rate(kLimit, {.window = seconds(5)}, kDrift,
                  MonotonicTime(seconds(100)));
-  const RateRequest request{.key = "t", .demand = 2, .waiting = 3};
+  const RateRequest request{.key = "t", .demand = 2, .queued_requests = 3};
   const MonotonicTime later(seconds(110));
   const RateGrant grant = rate.Grant("a", request, 1, {}, later);
-  CHECK(grant.stock == 0);
+  CHECK(grant.reserved_tokens == 0);
   CHECK(grant.tokens == 3);
 }
 
--- a/test/unit/quota/rate_leases_test.cc
+++ b/test/unit/quota/rate_leases_test.cc
@@ -13,8 +13,8 @@
   return {.key = "t",
           .number = number,
           .rate = rate,
-          .stock = stock,
-          .lease = kRateLease,
+          .reserved_tokens = stock,
+          .lease = kRateLeaseDuration,
           .tokens = tokens,
           .wait = Duration(0)};
 }
@@ -43,7 +43,7 @@
 
 TEST_CASE("a lease expires together with its reserve") {
   RateLeases leases = Leased();
-  CHECK_FALSE(leases.TryTake("t", kStart + kRateLease));
+  CHECK_FALSE(leases.TryTake("t", kStart + kRateLeaseDuration));
   // A router that was partitioned or paused for long has no tokens either.
   CHECK_FALSE(leases.TryTake("t", kStart + seconds(60)));
 }
@@ -52,8 +52,8 @@
     "a late answer is ignored, and its tokens are returned to the leader") {
   RateLeases leases;
   leases.OnDemand("t", kStart);
-  leases.SetWaiting("t", 1);
-  const MonotonicTime late = kStart + kLongestGrantAge + milliseconds(1);
+  leases.SetQueued("t", 1);
+  const MonotonicTime late = kStart + kMaximumGrantAge + milliseconds(1);
   CHECK(leases.OnGrant(Grant(1, 2, 2, 2), 1, kStart, late) == 0);
   CHECK_FALSE(leases.TryTake("t", late + milliseconds(600)));
   CHECK(leases.MakeReport(late).requests.front().returned == 2);
@@ -62,17 +62,17 @@
 TEST_CASE("tokens are requested once, until their answer is overdue") {
   RateLeases leases;
   leases.OnDemand("t", kStart);
-  leases.SetWaiting("t", 1);
+  leases.SetQueued("t", 1);
   const RateRequest first = leases.MakeReport(kStart).requests.front();
-  CHECK(first.waiting == 1);
-  CHECK(first.room == 1);
-  leases.SetWaiting("t", 3);
+  CHECK(first.queued_requests == 1);
+  CHECK(first.missing_reserve == 1);
+  leases.SetQueued("t", 3);
   const MonotonicTime soon = kStart + milliseconds(10);
   const RateRequest second = leases.MakeReport(soon).requests.front();
-  CHECK(second.waiting == 2);
-  CHECK(second.room == 0);
-  const MonotonicTime late = soon + kLongestGrantAge + milliseconds(1);
-  CHECK(leases.MakeReport(late).requests.front().waiting == 3);
+  CHECK(second.queued_requests == 2);
+  CHECK(second.missing_reserve == 0);
+  const MonotonicTime late = soon + kMaximumGrantAge + milliseconds(1);
+  CHECK(leases.MakeReport(late).requests.front().queued_requests == 3);
 }
 
 TEST_CASE("tokens beyond a full reserve are returned") {
@@ -84,7 +84,7 @@
 TEST_CASE("queued requests get tokens first, the rest fills the reserve") {
   RateLeases leases;
   leases.OnDemand("t", kStart);
-  leases.SetWaiting("t", 3);
+  leases.SetQueued("t", 3);
   CHECK(leases.OnGrant(Grant(1, 2, 1, 9), 1, kStart, kStart) == 3);
   CHECK(leases.TryTake("t", kStart));
   CHECK_FALSE(leases.TryTake("t", kStart));
@@ -93,17 +93,17 @@
 TEST_CASE("an older grant and one of an earlier leader change nothing") {
   RateLeases leases = Leased();
   CHECK(leases.OnGrant(Grant(9, 1, 1, 0), 3, kStart, kStart) == 0);
-  leases.SetWaiting("t", 5);
+  leases.SetQueued("t", 5);
   CHECK(leases.OnGrant(Grant(8, 50, 50, 5), 3, kStart, kStart) == 0);
   CHECK(leases.OnGrant(Grant(99, 50, 50, 5), 2, kStart, kStart) == 0);
-  CHECK(leases.Describe("t", kStart).grant == 9);
+  CHECK(leases.GetLeaseState("t", kStart).grant == 9);
 }
 
 TEST_CASE("a released token is kept for another request, within the reserve") {
   RateLeases leases = Leased();
   CHECK(leases.TryTake("t", kStart));
-  leases.GiveBack("t", kStart);
-  leases.GiveBack("t", kStart);
+  leases.ReleaseToken("t", kStart);
+  leases.ReleaseToken("t", kStart);
   CHECK(leases.TryTake("t", kStart));
   CHECK(leases.TryTake("t", kStart));
   CHECK_FALSE(leases.TryTake("t", kStart));
@@ -123,9 +123,9 @@
   const RateRequest& request = report.requests.front();
   CHECK(request.held_grant == 1);
   CHECK(request.held_rate == 2);
-  CHECK(request.held_left == kRateLease - milliseconds(100));
+  CHECK(request.held_remaining == kRateLeaseDuration - milliseconds(100));
   CHECK(request.demand == doctest::Approx(2).epsilon(0.03));
-  CHECK(request.room == 1);
+  CHECK(request.missing_reserve == 1);
 }
 
 TEST_CASE("a key without demand is released and removed") {
@@ -147,7 +147,7 @@
       leases.OnDemand("t" + std::to_string(i), kStart);
     }
   }
-  leases.SetWaiting("t150", 1);
+  leases.SetQueued("t150", 1);
   RateReport report = leases.MakeReport(kStart);
   CHECK(report.requests.size() == HolderOptions().maximum_requests);
   CHECK(report.requests.front().key == "t150");
@@ -157,23 +157,23 @@
 
 TEST_CASE("tokens of a pool do not change the lease") {
   RateLeases leases = Leased();
-  leases.SetWaiting("t", 2);
+  leases.SetQueued("t", 2);
   leases.TryTake("t", kStart);
   leases.TryTake("t", kStart);
   RateGrant tokens = Grant(0, 0, 0, 2);
-  CHECK(leases.OnGrant(tokens, kAnyTerm, kStart, kStart) == 2);
-  CHECK(leases.Describe("t", kStart).grant == 1);
+  CHECK(leases.OnGrant(tokens, kPoolGrantTerm, kStart, kStart) == 2);
+  CHECK(leases.GetLeaseState("t", kStart).grant == 1);
   // Late tokens are not used.
-  leases.SetWaiting("t", 2);
-  const MonotonicTime late = kStart + kLongestGrantAge + milliseconds(1);
-  CHECK(leases.OnGrant(tokens, kAnyTerm, kStart, late) == 0);
+  leases.SetQueued("t", 2);
+  const MonotonicTime late = kStart + kMaximumGrantAge + milliseconds(1);
+  CHECK(leases.OnGrant(tokens, kPoolGrantTerm, kStart, late) == 0);
 }
 
 TEST_CASE("a key that needs no lease is not reported") {
   RateLeases leases;
   leases.OnDemand("t", kStart);
   CHECK(leases.MakeReport(kStart).requests.empty());
-  leases.SetWaiting("t", 1);
+  leases.SetQueued("t", 1);
   CHECK(leases.MakeReport(kStart).requests.size() == 1);
   RateLeases pool(kPoolOptions);
   pool.OnDemand("t", kStart);
@@ -184,7 +184,7 @@
 TEST_CASE("the announced wait is known as the time without tokens") {
   RateLeases leases;
   leases.OnDemand("t", kStart);
-  leases.SetWaiting("t", 1);
+  leases.SetQueued("t", 1);
   RateGrant grant = Grant(1, 0, 0, 0);
   grant.wait = milliseconds(300);
   CHECK(leases.OnGrant(grant, 1, kStart, kStart) == 0);
--- a/test/unit/rollout/answer_tally_test.cc
+++ b/test/unit/rollout/answer_tally_test.cc
@@ -22,17 +22,17 @@
   AnswerTally tally;
   tally.Count(kCanaries, {.failed = true});
   CHECK(tally.MakeReport().empty());
-  CHECK_FALSE(tally.has_news());
+  CHECK_FALSE(tally.has_new_canary_answers());
 }
 
 TEST_CASE("a report holds the changed groups as totals, canaries first") {
   AnswerTally tally;
   tally.SetRollouts({{"s", 7}});
   tally.Count(kBaseline, {.latency = milliseconds(1)});
-  CHECK_FALSE(tally.has_news());
+  CHECK_FALSE(tally.has_new_canary_answers());
   tally.Count(kCanaries, {.failed = true});
   tally.Count(kCanaries, {.timed = false});
-  CHECK(tally.has_news());
+  CHECK(tally.has_new_canary_answers());
   const auto report = tally.MakeReport();
   REQUIRE(report.size() == 2);
   CHECK(report[0].group.canary);
@@ -40,7 +40,7 @@
   CHECK(report[0].counts.failed == 1);
   CHECK(report[0].counts.untimed == 1);
   CHECK(report[1].counts.timed[2] == 1);
-  CHECK_FALSE(tally.has_news());
+  CHECK_FALSE(tally.has_new_canary_answers());
   CHECK(tally.MakeReport().empty());
   tally.Count(kCanaries, {.failed = true});
   REQUIRE(tally.MakeReport().size() == 1);
--- a/test/unit/rollout/canary_allowance_test.cc
+++ b/test/unit/rollout/canary_allowance_test.cc
@@ -17,7 +17,7 @@
   for (int request = 0; request < 10'000; ++request) {
     CanaryAllowance& allowance = allowances[random() % routers];
     allowance.SetShare(permille, permille);
-    allowance.OnRequest(random(), MonotonicTime{});
+    allowance.DrawRequest(random(), MonotonicTime{});
     if (allowance.MaySend()) {
       allowance.OnSent();
       CHECK_FALSE(allowance.MaySend());
@@ -46,7 +46,7 @@
 std::size_t CanaryRequestsAt(CanaryAllowance allowance, MonotonicTime now) {
   std::size_t sent = 0;
   for (std::uint64_t random = 0; random < kWholePermille; ++random) {
-    allowance.OnRequest(random, now);
+    allowance.DrawRequest(random, now);
     sent += allowance.MaySend() ? 1 : 0;
   }
   return sent;
