--- a/source/common/forwarding/exchange.cc
+++ b/source/common/forwarding/exchange.cc
@@ -86,7 +86,7 @@
 }
 
 void Exchange::Start() {
-  responder_->OnCallerGone([weak = weak_from_this()] {
+  responder_->OnClientGone([weak = weak_from_this()] {
     if (auto self = weak.lock()) {
       self->OnClientGone();
     }
--- a/source/common/forwarding/router_server.cc
+++ b/source/common/forwarding/router_server.cc
@@ -386,7 +386,7 @@
 
   void AdmitLimited(LimitedRequest request) {
     const auto limited = std::make_shared<LimitedRequest>(std::move(request));
-    limited->responder->OnCallerGone(
+    limited->responder->OnClientGone(
         [weak = std::weak_ptr<LimitedRequest>(limited)] {
           if (const auto gone = weak.lock()) {
             gone->client_gone = true;
--- a/source/common/forwarding/startup_queue.cc
+++ b/source/common/forwarding/startup_queue.cc
@@ -27,7 +27,7 @@
   queued->message = message;
   queued->responder = responder;
   queued->arrived = now;
-  responder->OnCallerGone([weak = std::weak_ptr<QueuedRequest>(queued)] {
+  responder->OnClientGone([weak = std::weak_ptr<QueuedRequest>(queued)] {
     if (const auto request = weak.lock()) {
       request->client_gone = true;
     }
--- a/source/common/gateway/owner_backend.cc
+++ b/source/common/gateway/owner_backend.cc
@@ -69,7 +69,7 @@
     held_.Start(report->second.held_versions);
     gate_.SetReportedDraining(report->second.draining, now);
   }
-  gate_.SetMayEject(may_eject_, now);
+  gate_.SetEjectionAllowed(may_eject_, now);
   gate_.SetDraining(DrainSource::kOperator, resource_.drain, now);
   gate_.SetDraining(DrainSource::kPlatform,
                     LeavesByPlatform(options_.name, view), now);
@@ -141,7 +141,7 @@
     return;
   }
   may_eject_ = may_eject;
-  Perform(gate_.SetMayEject(may_eject, now), now);
+  Perform(gate_.SetEjectionAllowed(may_eject, now), now);
   AfterChange(now);
 }
 
@@ -172,7 +172,7 @@
 }
 
 void OwnerBackend::CutOff(MonotonicTime now) {
-  Perform(gate_.CutOff(now), now);
+  Perform(gate_.CloseAllConnections(now), now);
   ReplaceClient();
   AfterChange(now);
 }
@@ -261,10 +261,10 @@
 }
 
 void OwnerBackend::NoteFaults(const owner::BackendReply& reply) {
-  if (!reply.fault.empty()) {
+  if (!reply.discard_reason.empty()) {
     metrics_.foreign_bodies().Increment();
-    logging::LogEvent(owner::kForeignBody,
-                      {{"backend", options_.name}, {"fault", reply.fault}});
+    logging::LogEvent(owner::kBodyMismatch, {{"backend", options_.name},
+                                             {"fault", reply.discard_reason}});
   }
   if (reply.dropped_rows > 0) {
     metrics_.dropped_rows().Increment(reply.dropped_rows);
@@ -276,7 +276,7 @@
 void OwnerBackend::SendCancel(SubqueryId id) {
   metrics_.cancels().Increment();
   const auto generation = client_generation_;
-  client_->Cancel(AttemptId(id), owner::BackendGate::kAnswerGrace,
+  client_->Cancel(AttemptId(id), owner::BackendGate::kLateAnswerTimeout,
                   [this, generation](const net::HttpClientResponse&) {
                     if (generation == client_generation_) {
                       const MonotonicTime now = ReadMonotonicClock();
--- a/source/common/gateway/owner_server.cc
+++ b/source/common/gateway/owner_server.cc
@@ -110,7 +110,7 @@
       if (!tracker.Owns(name) && backend->gate().idle()) {
         // One that was still waiting for its predecessor had nothing to let go
         // of, and says nothing now.
-        tracker.OnLetGo(name);
+        tracker.OnBackendReleased(name);
         DiscardLater(name);
       }
     }
@@ -237,7 +237,7 @@
   void OnBreakerOpened() override { RefreshEjection(ReadMonotonicClock()); }
 
   void OnLetGo(const std::string& backend) override {
-    tracker.OnLetGo(backend);
+    tracker.OnBackendReleased(backend);
     ReportReleased();
     if (!tracker.Owns(backend)) {
       DiscardLater(backend);
--- a/source/common/gateway/peer_pool.cc
+++ b/source/common/gateway/peer_pool.cc
@@ -145,7 +145,7 @@
                        {"error", connection.error().message}});
     Pause(*peer);
     peer->waiting.clear();
-    handlers_.on_lost(peer->owner, routing::OwnerLoss::kNothingSent);
+    handlers_.on_lost(peer->owner, routing::OwnerConnectionLoss::kNothingSent);
     return;
   }
   logging::LogEvent(kPeerConnected,
@@ -187,7 +187,8 @@
   logging::LogEvent(kPeerLost,
                     {{"peer", peer->daemon_id}, {"address", peer->address}});
   Pause(*peer);
-  handlers_.on_lost(peer->owner, routing::OwnerLoss::kMayHaveRun);
+  handlers_.on_lost(peer->owner,
+                    routing::OwnerConnectionLoss::kMayHaveReceived);
 }
 
 void PeerPool::Pause(Peer& peer) {
@@ -204,9 +205,10 @@
   peer->waiting.clear();
   if (connected) {
     peer->connection->Close();
-    handlers_.on_lost(peer->owner, routing::OwnerLoss::kMayHaveRun);
+    handlers_.on_lost(peer->owner,
+                      routing::OwnerConnectionLoss::kMayHaveReceived);
   } else if (waited) {
-    handlers_.on_lost(peer->owner, routing::OwnerLoss::kNothingSent);
+    handlers_.on_lost(peer->owner, routing::OwnerConnectionLoss::kNothingSent);
   }
 }
 
--- a/source/common/gateway/peer_pool.h
+++ b/source/common/gateway/peer_pool.h
@@ -31,7 +31,7 @@
     // Everything handed over for the owner and not answered is lost. Runs at
     // the very moment, so that nothing handed over later is meant; never inside
     // Send, but inside SetPeer and RetainPeers.
-    std::function<void(routing::OwnerId, routing::OwnerLoss)> on_lost;
+    std::function<void(routing::OwnerId, routing::OwnerConnectionLoss)> on_lost;
     std::function<void(routing::OwnerId)> on_connected;
   };
 
--- a/source/common/gateway/query_codec.cc
+++ b/source/common/gateway/query_codec.cc
@@ -47,9 +47,9 @@
              static_cast<std::uint64_t>(Duration::max().count());
 }
 
-routing::SubqueryReply DecodeResult(const protocol::SubqueryResult& result,
-                                    const SharedFrame& frame) {
-  routing::SubqueryReply reply;
+routing::OwnerResult DecodeResult(const protocol::SubqueryResult& result,
+                                  const SharedFrame& frame) {
+  routing::OwnerResult reply;
   reply.attempt_id = result.attempt_id();
   reply.outcome = result.outcome();
   reply.dropped_rows = result.dropped_rows();
--- a/source/common/gateway/query_codec.h
+++ b/source/common/gateway/query_codec.h
@@ -18,7 +18,7 @@
 
 struct BatchReply {
   QueryId query_id = 0;
-  std::vector<routing::SubqueryReply> replies;
+  std::vector<routing::OwnerResult> replies;
 };
 
 // A finished, size-prefixed BatchRequest.
--- a/source/common/gateway/query_executor.cc
+++ b/source/common/gateway/query_executor.cc
@@ -54,16 +54,17 @@
       metrics_(metrics),
       state_({options.zone, options.region}, options.random_seed,
              options.replica_policy),
-      peers_(context, options.peer_connect_timeout, options.random_seed + 1,
-             {[this](routing::OwnerId owner, net::FrameBytes frame) {
-                return OnFrame(owner, frame);
-              },
-              [this](routing::OwnerId owner, routing::OwnerLoss loss) {
-                OnOwnerLost(owner, loss);
-              },
-              [this](routing::OwnerId owner) {
-                state_.owners.OnConnected(owner);
-              }}) {
+      peers_(
+          context, options.peer_connect_timeout, options.random_seed + 1,
+          {[this](routing::OwnerId owner, net::FrameBytes frame) {
+             return OnFrame(owner, frame);
+           },
+           [this](routing::OwnerId owner, routing::OwnerConnectionLoss loss) {
+             OnOwnerLost(owner, loss);
+           },
+           [this](routing::OwnerId owner) {
+             state_.owners.OnConnected(owner);
+           }}) {
   OnView(session.View());
 }
 
@@ -80,7 +81,8 @@
 
 bool QueryExecutor::HasRoom(const std::string& service) const {
   const auto state = state_.services.find(service);
-  return state == state_.services.end() || state->second.admission.HasRoom();
+  return state == state_.services.end() ||
+         state->second.admission.CanStartQuery();
 }
 
 void QueryExecutor::OnView(const session::FleetViewPointer& view) {
@@ -111,11 +113,11 @@
       context_, std::move(submission), std::move(responder));
   query->id = next_query_id_++;
   queries_.emplace(query->id, query);
-  state_.services[query->submission.service].admission.OnBegin();
+  state_.services[query->submission.service].admission.OnQueryStarted();
   const std::weak_ptr<ActiveQuery> weak = query;
-  query->responder->OnCallerGone([this, weak] {
+  query->responder->OnClientGone([this, weak] {
     if (const QueryPointer gone = weak.lock()) {
-      OnCallerGone(gone);
+      OnClientGone(gone);
     }
   });
   if (query->submission.query.repeatable) {
@@ -271,9 +273,9 @@
   queries_.erase(query->id);
   const Submission& submission = query->submission;
   const MonotonicTime now = ReadMonotonicClock();
-  state_.services[submission.service].admission.OnEnd(
-      query->run == nullptr ? routing::AdmissionLimit::End::kOther
-                            : query->run->LoadSignal(outcome),
+  state_.services[submission.service].admission.OnQueryEnded(
+      query->run == nullptr ? routing::AdmissionLimit::LoadEvidence::kOther
+                            : query->run->LoadEvidenceOf(outcome),
       submission.received, now);
   if (query->claim_granted) {
     session_.RecordOutcome(query->claim_key(), ExecutionOf(outcome));
@@ -291,7 +293,7 @@
   }
 }
 
-void QueryExecutor::OnCallerGone(const QueryPointer& query) {
+void QueryExecutor::OnClientGone(const QueryPointer& query) {
   if (query->finished) {
     return;
   }
@@ -299,7 +301,7 @@
     Finish(query, routing::Abandoned{ExecutionState::kNotRun});
     return;
   }
-  Apply(query, query->run->OnCallerGone(ReadMonotonicClock()));
+  Apply(query, query->run->OnClientGone(ReadMonotonicClock()));
 }
 
 bool QueryExecutor::OnFrame(routing::OwnerId owner, net::FrameBytes frame) {
@@ -319,13 +321,13 @@
     return true;
   }
   const QueryPointer query = found->second;
-  Apply(query, query->run->OnReplies(owner, std::move(reply->replies),
-                                     ReadMonotonicClock()));
+  Apply(query, query->run->OnSubqueryResults(owner, std::move(reply->replies),
+                                             ReadMonotonicClock()));
   return true;
 }
 
 void QueryExecutor::OnOwnerLost(routing::OwnerId owner,
-                                routing::OwnerLoss loss) {
+                                routing::OwnerConnectionLoss loss) {
   const MonotonicTime now = ReadMonotonicClock();
   state_.owners.OnLost(owner, now);
   std::vector<QueryPointer> affected;
--- a/source/common/gateway/query_executor.h
+++ b/source/common/gateway/query_executor.h
@@ -76,11 +76,11 @@
   void Apply(const QueryPointer& query, routing::Actions actions);
   void Arm(const QueryPointer& query);
   void Finish(const QueryPointer& query, const routing::QueryOutcome& outcome);
-  void OnCallerGone(const QueryPointer& query);
+  void OnClientGone(const QueryPointer& query);
 
   // --- Owners ---
   bool OnFrame(routing::OwnerId owner, net::FrameBytes frame);
-  void OnOwnerLost(routing::OwnerId owner, routing::OwnerLoss loss);
+  void OnOwnerLost(routing::OwnerId owner, routing::OwnerConnectionLoss loss);
   void UpdatePeers();
 
   asio::io_context& context_;
--- a/source/common/net/http_server.cc
+++ b/source/common/net/http_server.cc
@@ -138,7 +138,7 @@
     SendNow(std::move(response), std::exchange(request_, nullptr));
   }
 
-  void OnCallerGone(std::function<void()> listener) override {
+  void OnClientGone(std::function<void()> listener) override {
     if (!request_) {
       return;
     }
--- a/source/common/net/http_server.h
+++ b/source/common/net/http_server.h
@@ -56,7 +56,7 @@
   // `listener` runs once, in a later turn of the event loop, if the caller goes
   // away before the answer was sent. A caller that shuts down only its sending
   // side counts as gone.
-  virtual void OnCallerGone(std::function<void()> listener) = 0;
+  virtual void OnClientGone(std::function<void()> listener) = 0;
 };
 
 using HttpHandler = std::function<void(const HttpRequest& request,
--- a/source/common/owner/backend_gate.cc
+++ b/source/common/owner/backend_gate.cc
@@ -45,7 +45,7 @@
   return TakeActions();
 }
 
-GateActions BackendGate::SetMayEject(bool may_eject, MonotonicTime now) {
+GateActions BackendGate::SetEjectionAllowed(bool may_eject, MonotonicTime now) {
   breaker_.SetMayOpen(may_eject);
   Dispatch(now);
   return TakeActions();
@@ -77,7 +77,7 @@
   queue_.Insert(id, deadline, class_index);
   Dispatch(now);
   if (queue_.size() > settings_.queue_limit) {
-    const SubqueryId longest = queue_.LastOfLongest().id;
+    const SubqueryId longest = queue_.NextToShed().id;
     queue_.Remove(longest);
     Finish(longest, SubqueryOutcome::kShed, RetryAfter(now));
   }
@@ -97,7 +97,7 @@
   RunningSearch& search = found->second;
   search.abandoned = true;
   search.cancelled = true;
-  search.close_at = now + kAnswerGrace;
+  search.close_at = now + kLateAnswerTimeout;
   if (connections() < settings_.maximum_connections) {
     ++cancels_;
     actions_.push_back({GateActionKind::kSendCancel, id});
@@ -188,7 +188,7 @@
   return TakeActions();
 }
 
-GateActions BackendGate::CutOff(MonotonicTime now) {
+GateActions BackendGate::CloseAllConnections(MonotonicTime now) {
   access_ = GateAccess::kClosed;
   while (!running_.empty()) {
     const auto& [id, search] = *running_.begin();
@@ -224,7 +224,7 @@
     refusal.outcome = SubqueryOutcome::kDraining;
     return refusal;
   }
-  if (access_ == GateAccess::kWaiting) {
+  if (access_ == GateAccess::kAwaitingRelease) {
     refusal.outcome = SubqueryOutcome::kNotOwner;
     refusal.retry_after = kWaitingRetryAfter;
     return refusal;
@@ -268,7 +268,7 @@
     if (too_late && !queue_.empty()) {
       // The next subquery can use the slot better. If no other one waits, the
       // gate starts this one, because the mean is only an estimate.
-      queue_.Forget(entry.id);
+      queue_.ReleaseUncharged(entry.id);
       Finish(entry.id, SubqueryOutcome::kShed, RetryAfter(now));
     } else {
       queue_.Charge(entry.id, service_time_.mean() / UsableSlots(now), now);
@@ -315,7 +315,7 @@
     if (!search.abandoned && search.deadline <= now) {
       Finish(id, SubqueryOutcome::kExpiredStarted);
       search.abandoned = true;
-      search.close_at = search.deadline + kAnswerGrace;
+      search.close_at = search.deadline + kLateAnswerTimeout;
     }
     if (search.abandoned && search.close_at <= now) {
       overdue.push_back(id);
@@ -363,11 +363,11 @@
     case ReplyKind::kShed:
       OnShed(search, reply, now);
       break;
-    case ReplyKind::kStopped:
+    case ReplyKind::kNotCompleted:
       service_time_.ObserveAtLeast(now - search.started);
       break;
     case ReplyKind::kUnreachable:
-    case ReplyKind::kBroken:
+    case ReplyKind::kNoUsableAnswer:
       breaker_.OnFailure(now);
       return;
   }
--- a/source/common/owner/backend_gate.h
+++ b/source/common/owner/backend_gate.h
@@ -45,9 +45,10 @@
 
 // Whether this daemon may use the backend.
 enum class GateAccess {
-  kClosed,   // This daemon is not the owner: nothing starts, the rest finishes.
-  kWaiting,  // This daemon is the owner; the previous one may still send.
-  kOpen,     // This daemon is the owner and may send.
+  kClosed,  // This daemon is not the owner: nothing starts, the rest finishes.
+  kAwaitingRelease,  // This daemon is the owner; the previous one may still
+                     // send.
+  kOpen,             // This daemon is the owner and may send.
 };
 
 enum class GateActionKind {
@@ -77,7 +78,7 @@
  public:
   // How long the gate waits for the answer to a cancelled or expired search
   // before it closes the connection.
-  static constexpr Duration kAnswerGrace = milliseconds(50);
+  static constexpr Duration kLateAnswerTimeout = milliseconds(50);
   // How long a closed connection and its slot still count as used. The next
   // search may open another connection, which must not reach the backend before
   // the close does, or the backend exceeds its limits
@@ -93,7 +94,7 @@
   GateActions Configure(const GateSettings& settings, MonotonicTime now);
   GateActions SetAccess(GateAccess access, MonotonicTime now);
   // See CircuitBreaker::SetMayOpen.
-  GateActions SetMayEject(bool may_eject, MonotonicTime now);
+  GateActions SetEjectionAllowed(bool may_eject, MonotonicTime now);
   GateActions SetDraining(DrainSource level, bool draining, MonotonicTime now);
   // Sets the state that the previous owner reported; see DrainState.
   GateActions SetReportedDraining(bool draining, MonotonicTime now);
@@ -133,7 +134,7 @@
 
   // Closes every connection at once, because the lease ended. Started searches
   // end as kLost. The caller also closes the connections of cancels and probes.
-  GateActions CutOff(MonotonicTime now);
+  GateActions CloseAllConnections(MonotonicTime now);
 
   // True if no subquery is queued and no connection is in use.
   bool idle() const { return queue_.empty() && connections() == 0; }
--- a/source/common/owner/backend_reply.cc
+++ b/source/common/owner/backend_reply.cc
@@ -103,8 +103,8 @@
 
 void InterpretServed(const net::HttpClientResponse& response,
                      const SearchExpectation& expected, BackendReply& reply) {
-  reply.fault = ReadBody(response.body, expected, reply);
-  if (reply.fault.empty()) {
+  reply.discard_reason = ReadBody(response.body, expected, reply);
+  if (reply.discard_reason.empty()) {
     reply.kind = ReplyKind::kServed;
     reply.outcome = SubqueryOutcome::kRows;
     return;
@@ -134,7 +134,7 @@
       return;
     case 499:
     case 504:
-      reply.kind = ReplyKind::kStopped;
+      reply.kind = ReplyKind::kNotCompleted;
       reply.outcome = not_run ? SubqueryOutcome::kExpiredUnstarted
                               : SubqueryOutcome::kExpiredStarted;
       return;
--- a/source/common/owner/backend_reply.h
+++ b/source/common/owner/backend_reply.h
@@ -37,17 +37,17 @@
 
 // Result of the HTTP exchange, for BackendGate.
 enum class ReplyKind {
-  kServed,       // 200 with rows of the requested shard and index version.
-  kRefused,      // 409: the backend does not hold the index version.
-  kShed,         // 429 or 503.
-  kStopped,      // 499 or 504: cancelled, or the deadline passed.
-  kUnreachable,  // No byte was sent.
-  kBroken,       // The request was sent, but no usable answer came.
+  kServed,          // 200 with rows of the requested shard and index version.
+  kRefused,         // 409: the backend does not hold the index version.
+  kShed,            // 429 or 503.
+  kNotCompleted,    // 499 or 504: cancelled, or the deadline passed.
+  kUnreachable,     // No byte was sent.
+  kNoUsableAnswer,  // The request was sent, but no usable answer came.
 };
 
 // A backend's reply to one search.
 struct BackendReply {
-  ReplyKind kind = ReplyKind::kBroken;
+  ReplyKind kind = ReplyKind::kNoUsableAnswer;
   protocol::SubqueryOutcome outcome = protocol::SubqueryOutcome::kLost;
   std::vector<SearchRow> rows;
   // Rows outside the requested range, left out of `rows`.
@@ -60,7 +60,7 @@
   // From X-Retry-After-Ms or Retry-After; 0 if the answer has neither.
   Duration retry_after{0};
   // Why the body of a 200 was discarded; empty otherwise.
-  std::string fault;
+  std::string discard_reason;
 };
 
 // Never returns kRows for a shard or index version other than the expected one.
--- a/source/common/owner/events.h
+++ b/source/common/owner/events.h
@@ -20,7 +20,8 @@
                                           Severity::kWarning};
 inline constexpr EventType kBreakerClosed{3205, "breaker_closed",
                                           Severity::kInfo};
-inline constexpr EventType kForeignBody{3206, "foreign_body", Severity::kError};
+inline constexpr EventType kBodyMismatch{3206, "foreign_body",
+                                         Severity::kError};
 inline constexpr EventType kRowsOutOfRange{3207, "rows_out_of_range",
                                            Severity::kError};
 inline constexpr EventType kOwnerLeaseLost{3208, "owner_lease_lost",
--- a/source/common/owner/fair_queue.cc
+++ b/source/common/owner/fair_queue.cc
@@ -77,7 +77,7 @@
   charged.clock = std::min(ticked, now + kMaximumLead);
 }
 
-FairQueue::Entry FairQueue::LastOfLongest() const {
+FairQueue::Entry FairQueue::NextToShed() const {
   const auto longest =
       std::ranges::max_element(classes_, {}, [](const Class& candidate) {
         return static_cast<double>(candidate.entries.size()) / candidate.weight;
--- a/source/common/owner/fair_queue.h
+++ b/source/common/owner/fair_queue.h
@@ -62,19 +62,19 @@
   bool Remove(SubqueryId id);
 
   // Removes and returns the next subquery to start. The queue must not be
-  // empty. The caller then calls Charge or Forget.
+  // empty. The caller then calls Charge or ReleaseUncharged.
   Entry TakeNext(MonotonicTime now);
   // Charges the class of a subquery that TakeNext returned and that started.
   // @param slot_time expected time of one subquery divided by the slots.
   void Charge(SubqueryId id, Duration slot_time, MonotonicTime now);
   // The caller refused the subquery that TakeNext returned: its class is not
   // charged.
-  void Forget(SubqueryId id) { taken_.erase(id); }
+  void ReleaseUncharged(SubqueryId id) { taken_.erase(id); }
 
   // The subquery to shed when the queue is full: the one with the longest
   // remaining time in the class with the most queued subqueries relative to its
   // weight. The queue must not be empty.
-  Entry LastOfLongest() const;
+  Entry NextToShed() const;
   // The queued subquery with the earliest deadline. The queue must not be
   // empty.
   Entry Earliest() const;
@@ -110,7 +110,7 @@
   };
   std::unordered_map<SubqueryId, QueuedSubquery> queued_;
   // Classes of the subqueries that TakeNext returned and for which neither
-  // Charge nor Forget has been called yet.
+  // Charge nor ReleaseUncharged has been called yet.
   std::unordered_map<SubqueryId, ClassIndex> taken_;
 };
 
--- a/source/common/owner/ownership_tracker.cc
+++ b/source/common/owner/ownership_tracker.cc
@@ -52,7 +52,7 @@
                         skipping_views_.upper_bound(in_force_));
 }
 
-void OwnershipTracker::OnLetGo(const std::string& backend) {
+void OwnershipTracker::OnBackendReleased(const std::string& backend) {
   releasing_.erase(backend);
 }
 
@@ -77,7 +77,7 @@
   }
   const bool usable =
       zone_released_ >= owned->second && !releasing_.contains(backend);
-  return usable ? GateAccess::kOpen : GateAccess::kWaiting;
+  return usable ? GateAccess::kOpen : GateAccess::kAwaitingRelease;
 }
 
 resources::Revision OwnershipTracker::released() const {
--- a/source/common/owner/ownership_tracker.h
+++ b/source/common/owner/ownership_tracker.h
@@ -36,8 +36,8 @@
   // Backends whose owner a new view changed.
   struct Change {
     std::vector<std::string> gained;
-    // The daemon must release these: it calls OnLetGo for each once no search
-    // runs there and the connections are closed.
+    // The daemon must release these: it calls OnBackendReleased for each once
+    // no search runs there and the connections are closed.
     std::vector<std::string> lost;
   };
   // Ignores views that are not newer than the newest one seen.
@@ -50,7 +50,7 @@
   void OnInForce(resources::Revision revision);
 
   // No search runs at `backend` any more and its connections are closed.
-  void OnLetGo(const std::string& backend);
+  void OnBackendReleased(const std::string& backend);
 
   // The lease ended, and the owner has closed every connection.
   void OnLeaseLost();
--- a/source/common/routing/admission_limit.cc
+++ b/source/common/routing/admission_limit.cc
@@ -11,13 +11,14 @@
 
 }  // namespace
 
-void AdmissionLimit::OnEnd(End end, MonotonicTime began, MonotonicTime now) {
+void AdmissionLimit::OnQueryEnded(LoadEvidence end, MonotonicTime began,
+                                  MonotonicTime now) {
   const auto running = static_cast<double>(running_);
   --running_;
-  if (end == End::kOther) {
+  if (end == LoadEvidence::kOther) {
     return;
   }
-  if (end == End::kServed && running >= kUsedShare * limit_) {
+  if (end == LoadEvidence::kServed && running >= kUsedShare * limit_) {
     limit_ = std::min(limit_ + 1 / limit_, kMaximumLimit);
   }
   if (began >= last_decrease_) {
@@ -25,12 +26,14 @@
   }
 }
 
-void AdmissionLimit::Count(End end, double running, MonotonicTime now) {
+void AdmissionLimit::Count(LoadEvidence end, double running,
+                           MonotonicTime now) {
   ++ended_;
-  overloaded_ += end == End::kOverloaded ? 1 : 0;
+  overloaded_ += end == LoadEvidence::kOverloaded ? 1 : 0;
   const bool overload = overloaded_ >= kOverloadedQueriesToDecrease;
   if (overload) {
-    limit_ = std::max(std::min(limit_, running) * kDecrease, kMinimumLimit);
+    limit_ =
+        std::max(std::min(limit_, running) * kDecreaseFactor, kMinimumLimit);
     last_decrease_ = now;
   }
   if (overload || ended_ >= kWindowQueries) {
--- a/source/common/routing/admission_limit.h
+++ b/source/common/routing/admission_limit.h
@@ -3,10 +3,10 @@
 // so that hardly any query gets complete coverage although every backend is
 // busy.
 //
-// The limit is multiplied by kDecrease when several recent queries ended with
-// too little coverage because saturated backends shed their subqueries. The
-// limit grows by one per `limit` served queries. Queries that began before the
-// last decrease ran under the old limit and cannot cause another decrease.
+// The limit is multiplied by kDecreaseFactor when several recent queries ended
+// with too little coverage because saturated backends shed their subqueries.
+// The limit grows by one per `limit` served queries. Queries that began before
+// the last decrease ran under the old limit and cannot cause another decrease.
 // Occasional sheds do not lower the limit.
 #pragma once
 
@@ -26,31 +26,31 @@
   // Initial value and upper bound of the limit, in queries.
   static constexpr double kMaximumLimit = 4096;
   // Factor by which an overload lowers the limit.
-  static constexpr double kDecrease = 0.8;
+  static constexpr double kDecreaseFactor = 0.8;
   // The limit decreases when kOverloadedQueriesToDecrease of at most
   // kWindowQueries ended queries were overloaded.
   static constexpr int kOverloadedQueriesToDecrease = 3;
   static constexpr int kWindowQueries = 50;
 
   // Whether one more query may start.
-  bool HasRoom() const { return static_cast<double>(running_) < limit_; }
-  void OnBegin() { ++running_; }
+  bool CanStartQuery() const { return static_cast<double>(running_) < limit_; }
+  void OnQueryStarted() { ++running_; }
 
-  enum class End {
+  enum class LoadEvidence {
     kServed,      // The coverage met the service's minimum.
     kOverloaded,  // Too little coverage because saturated backends shed.
     kOther,       // No evidence about load, for example abandoned queries.
   };
-  // Ends one query that OnBegin counted.
-  // @param began when OnBegin was called for the query.
-  void OnEnd(End end, MonotonicTime began, MonotonicTime now);
+  // Ends one query that OnQueryStarted counted.
+  // @param began when OnQueryStarted was called for the query.
+  void OnQueryEnded(LoadEvidence end, MonotonicTime began, MonotonicTime now);
 
   // Limit and count of the running queries.
   double limit() const { return limit_; }
   std::size_t running() const { return running_; }
 
  private:
-  void Count(End end, double running, MonotonicTime now);
+  void Count(LoadEvidence end, double running, MonotonicTime now);
 
   double limit_ = kMaximumLimit;
   std::size_t running_ = 0;
--- a/source/common/routing/attempt_log.cc
+++ b/source/common/routing/attempt_log.cc
@@ -7,7 +7,7 @@
   return size() - 1;
 }
 
-ResultVerdict AttemptLog::Judge(OwnerId owner, AttemptId id) {
+ResultVerdict AttemptLog::ClassifyResult(OwnerId owner, AttemptId id) {
   if (id >= attempts_.size() || attempts_[id].owner != owner) {
     return ResultVerdict::kForeign;
   }
--- a/source/common/routing/attempt_log.h
+++ b/source/common/routing/attempt_log.h
@@ -51,7 +51,7 @@
 
   // Classifies a result that `owner` sent for attempt `id`. The first result
   // for an abandoned attempt is late, each further one is a duplicate.
-  ResultVerdict Judge(OwnerId owner, AttemptId id);
+  ResultVerdict ClassifyResult(OwnerId owner, AttemptId id);
 
   void MarkProvablyNotRun(AttemptId id);
 
--- a/source/common/routing/backend_states.cc
+++ b/source/common/routing/backend_states.cc
@@ -49,7 +49,7 @@
 
 void BackendStates::OnSent(BackendId backend) { ++Get(backend).outstanding; }
 
-void BackendStates::OnDone(BackendId backend) {
+void BackendStates::OnAttemptEnded(BackendId backend) {
   State& state = Get(backend);
   state.outstanding -= std::min<std::uint32_t>(state.outstanding, 1);
 }
--- a/source/common/routing/backend_states.h
+++ b/source/common/routing/backend_states.h
@@ -32,7 +32,7 @@
   // A subquery was sent and is outstanding.
   void OnSent(BackendId backend);
   // The subquery was answered, lost or cancelled and is no longer outstanding.
-  void OnDone(BackendId backend);
+  void OnAttemptEnded(BackendId backend);
   // The owner reported `load` subqueries, running and queued, on a backend with
   // `slots` slots.
   void OnLoad(BackendId backend, std::uint32_t load, std::uint32_t slots,
--- a/source/common/routing/query_run.cc
+++ b/source/common/routing/query_run.cc
@@ -1,4 +1,4 @@
-// Starts a query and sends its subqueries. query_run_replies.cc processes the
+// Starts a query and sends its subqueries. query_run_results.cc processes the
 // results, query_run_outcome.cc ends the query.
 #include "common/routing/query_run.h"
 
--- a/source/common/routing/query_run.h
+++ b/source/common/routing/query_run.h
@@ -49,25 +49,27 @@
   Actions Start(MonotonicTime now);
   // Processes results that `owner` sent. Late, duplicate and foreign results
   // are counted and discarded.
-  Actions OnReplies(OwnerId owner, std::vector<SubqueryReply> replies,
-                    MonotonicTime now);
+  Actions OnSubqueryResults(OwnerId owner, std::vector<OwnerResult> replies,
+                            MonotonicTime now);
   // The connection to `owner` was lost, and with it all outstanding attempts
   // there.
-  Actions OnOwnerLost(OwnerId owner, OwnerLoss loss, MonotonicTime now);
+  Actions OnOwnerLost(OwnerId owner, OwnerConnectionLoss loss,
+                      MonotonicTime now);
   // The caller could not send a batch of the last actions: no byte of the batch
   // left this process.
   Actions OnBatchUnsent(const Batch& batch, MonotonicTime now);
   // Sends due hedges and retries, and ends the query at its deadline.
   Actions OnTimer(MonotonicTime now);
   // The client disconnected: abandons the query.
-  Actions OnCallerGone(MonotonicTime now);
+  Actions OnClientGone(MonotonicTime now);
 
   // When OnTimer must be called next. May be earlier than the next due action,
   // never later.
   MonotonicTime next_timer() const { return next_timer_; }
   bool finished() const { return finished_; }
   // How the admission limit counts the end of the query with `outcome`.
-  AdmissionLimit::End LoadSignal(const QueryOutcome& outcome) const;
+  AdmissionLimit::LoadEvidence LoadEvidenceOf(
+      const QueryOutcome& outcome) const;
   const QueryRequest& request() const { return request_; }
   // Revision of the view with which the query was admitted or last restarted.
   resources::Revision revision() const { return pinned_view_->revision; }
@@ -145,18 +147,18 @@
                       MonotonicTime now);
 
   // --- Results ---
-  void OnReply(OwnerId owner, SubqueryReply& reply, MonotonicTime now,
+  void OnReply(OwnerId owner, OwnerResult& reply, MonotonicTime now,
                Actions& actions);
   // Ends an outstanding attempt that has a result or is lost.
   void CloseAttempt(AttemptId id);
-  void OnAttemptLost(AttemptId id, OwnerLoss loss, MonotonicTime now,
+  void OnAttemptLost(AttemptId id, OwnerConnectionLoss loss, MonotonicTime now,
                      Actions& actions);
-  void OnRows(PartitionState& partition, SubqueryReply& reply,
-              MonotonicTime now, Actions& actions);
+  void OnRows(PartitionState& partition, OwnerResult& reply, MonotonicTime now,
+              Actions& actions);
   void OnFailure(PartitionState& partition, SubqueryOutcome outcome,
                  MonotonicTime now, Actions& actions);
-  void StoreRows(PartitionState& partition, SubqueryReply& reply);
-  void RecordObservations(const Attempt& attempt, const SubqueryReply& reply,
+  void StoreRows(PartitionState& partition, OwnerResult& reply);
+  void RecordObservations(const Attempt& attempt, const OwnerResult& reply,
                           MonotonicTime now);
   // Sends a failed partition to another replica, or schedules a resend.
   void SendAgainOrSchedule(PartitionState& partition, SendKind kind,
--- a/source/common/routing/query_run_outcome.cc
+++ b/source/common/routing/query_run_outcome.cc
@@ -33,7 +33,7 @@
 
 }  // namespace
 
-Actions QueryRun::OnCallerGone(MonotonicTime now) {
+Actions QueryRun::OnClientGone(MonotonicTime now) {
   Actions actions;
   if (!finished_) {
     CancelAll(now, actions);
@@ -105,7 +105,7 @@
       attempt_log_.MarkProvablyNotRun(subquery.attempt_id);
       attempt.status = AttemptStatus::kAbandoned;
       --partitions_[attempt.partition].outstanding;
-      front_.backends.OnDone(attempt.backend);
+      front_.backends.OnAttemptEnded(attempt.backend);
       if (attempt.probe) {
         front_.backends.OnProbeAbandoned(attempt.backend);
       }
@@ -119,7 +119,7 @@
   Attempt& attempt = attempt_log_.Get(id);
   attempt.status = AttemptStatus::kAbandoned;
   --partitions_[attempt.partition].outstanding;
-  front_.backends.OnDone(attempt.backend);
+  front_.backends.OnAttemptEnded(attempt.backend);
   RecordUnansweredAttempt(attempt, now);
   const auto known = std::ranges::find(actions.cancellations, attempt.owner,
                                        &Cancellation::owner);
@@ -130,9 +130,10 @@
   }
 }
 
-AdmissionLimit::End QueryRun::LoadSignal(const QueryOutcome& outcome) const {
+AdmissionLimit::LoadEvidence QueryRun::LoadEvidenceOf(
+    const QueryOutcome& outcome) const {
   if (std::holds_alternative<Abandoned>(outcome)) {
-    return AdmissionLimit::End::kOther;
+    return AdmissionLimit::LoadEvidence::kOther;
   }
   const bool some_shed =
       std::ranges::any_of(partitions_, [](const PartitionState& partition) {
@@ -146,10 +147,10 @@
           : 1;
   const bool enough = answer != nullptr && answer->coverage.share >= wanted;
   if (enough) {
-    return AdmissionLimit::End::kServed;
+    return AdmissionLimit::LoadEvidence::kServed;
   }
-  return some_shed ? AdmissionLimit::End::kOverloaded
-                   : AdmissionLimit::End::kOther;
+  return some_shed ? AdmissionLimit::LoadEvidence::kOverloaded
+                   : AdmissionLimit::LoadEvidence::kOther;
 }
 
 Answer QueryRun::MakeAnswer() {
--- a/source/common/routing/query_run_replies.cc
+++ b/source/common/routing/query_run_results.cc
@@ -58,20 +58,21 @@
 
 }  // namespace
 
-Actions QueryRun::OnReplies(OwnerId owner, std::vector<SubqueryReply> replies,
-                            MonotonicTime now) {
+Actions QueryRun::OnSubqueryResults(OwnerId owner,
+                                    std::vector<OwnerResult> replies,
+                                    MonotonicTime now) {
   Actions actions;
   UpdateRoutes();
-  for (SubqueryReply& reply : replies) {
+  for (OwnerResult& reply : replies) {
     OnReply(owner, reply, now, actions);
   }
   RestartOrFinish(now, actions);
   return actions;
 }
 
-void QueryRun::OnReply(OwnerId owner, SubqueryReply& reply, MonotonicTime now,
+void QueryRun::OnReply(OwnerId owner, OwnerResult& reply, MonotonicTime now,
                        Actions& actions) {
-  switch (attempt_log_.Judge(owner, reply.attempt_id)) {
+  switch (attempt_log_.ClassifyResult(owner, reply.attempt_id)) {
     case ResultVerdict::kAccept:
       break;
     case ResultVerdict::kLate:
@@ -106,12 +107,11 @@
   Attempt& attempt = attempt_log_.Get(id);
   attempt.status = AttemptStatus::kAnswered;
   --partitions_[attempt.partition].outstanding;
-  front_.backends.OnDone(attempt.backend);
+  front_.backends.OnAttemptEnded(attempt.backend);
 }
 
 void QueryRun::RecordObservations(const Attempt& attempt,
-                                  const SubqueryReply& reply,
-                                  MonotonicTime now) {
+                                  const OwnerResult& reply, MonotonicTime now) {
   front_.counters.out_of_range_rows += reply.dropped_rows;
   retry_after_hint_ = std::max(retry_after_hint_, reply.retry_after);
   if (reply.slots > 0) {
@@ -163,7 +163,7 @@
   }
 }
 
-void QueryRun::OnRows(PartitionState& partition, SubqueryReply& reply,
+void QueryRun::OnRows(PartitionState& partition, OwnerResult& reply,
                       MonotonicTime now, Actions& actions) {
   StoreRows(partition, reply);
   partition.status = PartitionStatus::kSearched;
@@ -178,7 +178,7 @@
   }
 }
 
-void QueryRun::StoreRows(PartitionState& partition, SubqueryReply& reply) {
+void QueryRun::StoreRows(PartitionState& partition, OwnerResult& reply) {
   std::vector<ResultRow>& rows = reply.block.rows;
   const std::size_t dropped = std::erase_if(rows, [&](const ResultRow& row) {
     return !partition.range.Contains(row.key);
@@ -214,7 +214,7 @@
   }
 }
 
-Actions QueryRun::OnOwnerLost(OwnerId owner, OwnerLoss loss,
+Actions QueryRun::OnOwnerLost(OwnerId owner, OwnerConnectionLoss loss,
                               MonotonicTime now) {
   Actions actions;
   UpdateRoutes();
@@ -236,7 +236,8 @@
   for (const PlannedSubquery& subquery : batch.subqueries) {
     const Attempt& attempt = attempt_log_.Get(subquery.attempt_id);
     if (attempt.status == AttemptStatus::kOutstanding) {
-      OnAttemptLost(subquery.attempt_id, OwnerLoss::kNothingSent, now, actions);
+      OnAttemptLost(subquery.attempt_id, OwnerConnectionLoss::kNothingSent, now,
+                    actions);
     }
   }
   RestartOrFinish(now, actions);
@@ -245,14 +246,14 @@
 
 // The owner failed, which is no evidence about its backends, so that no backend
 // failure is recorded.
-void QueryRun::OnAttemptLost(AttemptId id, OwnerLoss loss, MonotonicTime now,
-                             Actions& actions) {
+void QueryRun::OnAttemptLost(AttemptId id, OwnerConnectionLoss loss,
+                             MonotonicTime now, Actions& actions) {
   const Attempt attempt = attempt_log_.Get(id);
   CloseAttempt(id);
   if (attempt.probe) {
     front_.backends.OnProbeAbandoned(attempt.backend);
   }
-  const bool nothing_sent = loss == OwnerLoss::kNothingSent;
+  const bool nothing_sent = loss == OwnerConnectionLoss::kNothingSent;
   if (nothing_sent) {
     attempt_log_.MarkProvablyNotRun(id);
   }
--- a/source/common/routing/query_types.h
+++ b/source/common/routing/query_types.h
@@ -55,7 +55,7 @@
 };
 
 // The result that an owner sent for one subquery.
-struct SubqueryReply {
+struct OwnerResult {
   AttemptId attempt_id = 0;
   SubqueryOutcome outcome = SubqueryOutcome::kLost;
   RowBlock block;
@@ -70,9 +70,9 @@
 };
 
 // What the loss of a connection means for the subqueries outstanding on it.
-enum class OwnerLoss {
-  kNothingSent,  // No byte of the subqueries left this process.
-  kMayHaveRun,   // The owner may have received the subqueries.
+enum class OwnerConnectionLoss {
+  kNothingSent,      // No byte of the subqueries left this process.
+  kMayHaveReceived,  // The owner may have received the subqueries.
 };
 
 // --- Output ---
--- a/source/lab/backend/server.cc
+++ b/source/lab/backend/server.cc
@@ -205,7 +205,7 @@
   running->responder = responder;
   running_[request.attempt_id] = running;
   const std::string attempt_id = request.attempt_id;
-  responder->OnCallerGone([this, attempt_id] { Cancel(attempt_id); });
+  responder->OnClientGone([this, attempt_id] { Cancel(attempt_id); });
   running->timer.expires_after(admission.work);
   running->timer.async_wait([this, attempt_id](const asio::error_code& error) {
     if (!error) {
--- a/source/lab/bench/owner.cc
+++ b/source/lab/bench/owner.cc
@@ -79,7 +79,7 @@
     answered_ += static_cast<int>(reply.replies.size());
     rows_ += static_cast<int>(
         std::ranges::count(reply.replies, routing::SubqueryOutcome::kRows,
-                           &routing::SubqueryReply::outcome));
+                           &routing::OwnerResult::outcome));
     int& left = open_.at(reply.query_id);
     left -= static_cast<int>(reply.replies.size());
     if (left == 0) {
@@ -208,7 +208,7 @@
 
   void OnReply(const gateway::BatchReply& reply) {
     const MonotonicTime now = ReadMonotonicClock();
-    for (const routing::SubqueryReply& result : reply.replies) {
+    for (const routing::OwnerResult& result : reply.replies) {
       if (result.outcome == routing::SubqueryOutcome::kRows) {
         served_.push_back(now);
       } else {
--- a/source/sim/control/sim_daemon_backends.cc
+++ b/source/sim/control/sim_daemon_backends.cc
@@ -17,7 +17,7 @@
   if (busy || letting_go_.erase(backend) == 0) {
     return;
   }
-  tracker_->OnLetGo(backend);
+  tracker_->OnBackendReleased(backend);
   ReportReleased();
 }
 
@@ -66,7 +66,7 @@
   for (const std::string& backend : owned_) {
     const owner::GateAccess access = tracker_->AccessTo(backend);
     const bool uses_early = options_.Has(ControlDefect::kUsesBeforeReleased) &&
-                            access == owner::GateAccess::kWaiting;
+                            access == owner::GateAccess::kAwaitingRelease;
     if (access == owner::GateAccess::kOpen || uses_early) {
       open.insert(backend);
     }
--- a/source/sim/tier/sim_backend.cc
+++ b/source/sim/tier/sim_backend.cc
@@ -89,7 +89,7 @@
   const auto found = running_.find(key);
   if (found != running_.end() && found->second.begun &&
       surroundings_.Chance(0.7)) {
-    End(key, MakeReply(owner::ReplyKind::kStopped,
+    End(key, MakeReply(owner::ReplyKind::kNotCompleted,
                        protocol::SubqueryOutcome::kExpiredStarted));
   }
 }
--- a/source/sim/tier/sim_gateway.cc
+++ b/source/sim/tier/sim_gateway.cc
@@ -49,7 +49,8 @@
     const Duration way = surroundings_.Between(kShortestWay, kLongestWay);
     surroundings_.timeline.After(way, [this, gateway = gateway] {
       gateway->daemon_.Deliver([this, gateway] {
-        gateway->OnPeerLost(daemon_.id(), routing::OwnerLoss::kMayHaveRun);
+        gateway->OnPeerLost(daemon_.id(),
+                            routing::OwnerConnectionLoss::kMayHaveReceived);
       });
     });
   }
@@ -173,7 +174,7 @@
   const Duration way = surroundings_.Between(kShortestWay, kLongestWay);
   if (peer == gateways_.end() || !peer->second->daemon_.running()) {
     daemon_.RunAfter(way, [this, owner] {
-      OnPeerLost(owner, routing::OwnerLoss::kNothingSent);
+      OnPeerLost(owner, routing::OwnerConnectionLoss::kNothingSent);
     });
     return;
   }
@@ -219,7 +220,8 @@
   }
 }
 
-void SimGateway::OnPeerLost(const std::string& peer, routing::OwnerLoss loss) {
+void SimGateway::OnPeerLost(const std::string& peer,
+                            routing::OwnerConnectionLoss loss) {
   const routing::OwnerId owner = front_->owner_names.IdOf(peer);
   front_->owners.OnLost(owner, daemon_.Now());
   for (const auto& [number, query] :
@@ -231,14 +233,15 @@
 }
 
 void SimGateway::OnReply(const QueryPointer& query, const std::string& owner,
-                         routing::SubqueryReply reply) {
+                         routing::OwnerResult reply) {
   if (query->run->finished()) {
     return;
   }
-  std::vector<routing::SubqueryReply> replies;
+  std::vector<routing::OwnerResult> replies;
   replies.push_back(std::move(reply));
-  Apply(query, query->run->OnReplies(front_->owner_names.IdOf(owner),
-                                     std::move(replies), daemon_.Now()));
+  Apply(query,
+        query->run->OnSubqueryResults(front_->owner_names.IdOf(owner),
+                                      std::move(replies), daemon_.Now()));
 }
 
 }  // namespace juniperway::sim
--- a/source/sim/tier/sim_gateway.h
+++ b/source/sim/tier/sim_gateway.h
@@ -81,9 +81,9 @@
   void Finish(const QueryPointer& query, const routing::QueryOutcome& outcome);
   void ArmTimer(const QueryPointer& query);
   // The connection to a peer ended.
-  void OnPeerLost(const std::string& peer, routing::OwnerLoss loss);
+  void OnPeerLost(const std::string& peer, routing::OwnerConnectionLoss loss);
   void OnReply(const QueryPointer& query, const std::string& owner,
-               routing::SubqueryReply reply);
+               routing::OwnerResult reply);
 
   // --- Owner
   // A subquery of a front, by its attempt there.
--- a/source/sim/tier/sim_gateway_owner.cc
+++ b/source/sim/tier/sim_gateway_owner.cc
@@ -40,7 +40,7 @@
 void SimGateway::OnAccess() {
   for (auto& [name, use] : uses_) {
     owner::GateAccess access = daemon_.AccessTo(name);
-    if (access == owner::GateAccess::kWaiting &&
+    if (access == owner::GateAccess::kAwaitingRelease &&
         defect_ == TierDefect::kOpensWhileWaiting) {
       access = owner::GateAccess::kOpen;
     }
@@ -51,7 +51,7 @@
 void SimGateway::OnLeaseLost() {
   for (auto& [name, use] : uses_) {
     ++use.generation;
-    Perform(name, use.gate->CutOff(daemon_.Now()));
+    Perform(name, use.gate->CloseAllConnections(daemon_.Now()));
     backends_.at(name)->CloseAll(&daemon_);
   }
 }
@@ -203,7 +203,7 @@
 void SimGateway::Reply(const Order& order, const std::string& backend,
                        protocol::SubqueryOutcome outcome,
                        const std::vector<owner::SearchRow>& rows) {
-  routing::SubqueryReply reply;
+  routing::OwnerResult reply;
   reply.attempt_id = order.attempt;
   reply.outcome = outcome;
   const auto storage = std::make_shared<std::vector<owner::SearchRow>>(rows);
--- a/source/sim/waiting_orders.cc
+++ b/source/sim/waiting_orders.cc
@@ -110,7 +110,7 @@
     queue_.Insert(subquery.id, subquery.deadline, subquery.class_index);
   }
   void DropOne() override {
-    const owner::SubqueryId id = queue_.LastOfLongest().id;
+    const owner::SubqueryId id = queue_.NextToShed().id;
     queue_.Remove(id);
     waiting_.erase(id);
   }
@@ -118,7 +118,7 @@
   std::size_t size() const override { return queue_.size(); }
   WaitingSubquery Take(MonotonicTime now) override {
     if (taken_) {
-      queue_.Forget(*taken_);
+      queue_.ReleaseUncharged(*taken_);
     }
     const owner::SubqueryId id = queue_.TakeNext(now).id;
     taken_ = id;
--- a/test/integration/gateway/owner_fixture.cc
+++ b/test/integration/gateway/owner_fixture.cc
@@ -110,7 +110,7 @@
             [this](net::FrameBytes frame) {
               auto batch = gateway::DecodeBatchResult(frame);
               REQUIRE(batch);
-              for (routing::SubqueryReply& reply : batch->replies) {
+              for (routing::OwnerResult& reply : batch->replies) {
                 const AttemptId attempt = reply.attempt_id;
                 const bool first =
                     replies.emplace(attempt, std::move(reply)).second;
@@ -155,7 +155,7 @@
   front_->Send(gateway::EncodeCancel(attempt, {attempt}));
 }
 
-const routing::SubqueryReply& OwnerFixture::ResultOf(AttemptId attempt) {
+const routing::OwnerResult& OwnerFixture::ResultOf(AttemptId attempt) {
   REQUIRE(RunUntil([this, attempt] { return Has(attempt); }));
   return replies.at(attempt);
 }
--- a/test/integration/gateway/owner_fixture.h
+++ b/test/integration/gateway/owner_fixture.h
@@ -79,7 +79,7 @@
 
   bool Has(AttemptId attempt) const { return replies.contains(attempt); }
   // Runs the loop until the result is there.
-  const routing::SubqueryReply& ResultOf(AttemptId attempt);
+  const routing::OwnerResult& ResultOf(AttemptId attempt);
   routing::SubqueryOutcome OutcomeOf(AttemptId attempt) {
     return ResultOf(attempt).outcome;
   }
@@ -101,7 +101,7 @@
       std::make_shared<prometheus::Registry>();
   std::vector<std::unique_ptr<lab::BackendServer>> servers;
   std::unique_ptr<gateway::OwnerServer> owner;
-  std::map<AttemptId, routing::SubqueryReply> replies;
+  std::map<AttemptId, routing::OwnerResult> replies;
 
  private:
   void Connect();
--- a/test/integration/gateway/owner_limits_test.cc
+++ b/test/integration/gateway/owner_limits_test.cc
@@ -35,7 +35,7 @@
   fixture.Cancel(attempts.front());
   REQUIRE(fixture.RunUntil(
       [&] { return fixture.Metric("juniperway_owner_cancels_total") == 1; }));
-  StandStill(2 * owner::BackendGate::kAnswerGrace);
+  StandStill(2 * owner::BackendGate::kLateAnswerTimeout);
   fixture.Ask("b");
   REQUIRE(fixture.RunUntil(
       [&] { return server.model().counters().begun == attempts.size() + 1; }));
--- a/test/property/gateway/query_codec_fuzz_test.cc
+++ b/test/property/gateway/query_codec_fuzz_test.cc
@@ -39,7 +39,7 @@
 // What the query run relies on; reads every byte that it would.
 void RequireSound(const gateway::BatchReply& reply, std::size_t frame_size) {
   std::size_t bytes = 0;
-  for (const routing::SubqueryReply& one : reply.replies) {
+  for (const routing::OwnerResult& one : reply.replies) {
     RC_ASSERT(one.outcome <= protocol::SubqueryOutcome::MAX);
     RC_ASSERT(one.retry_after >= Duration(0));
     for (const auto& row : one.block.rows) {
--- a/test/property/owner/zone_owner.cc
+++ b/test/property/owner/zone_owner.cc
@@ -109,7 +109,7 @@
     return;
   }
   for (auto& [backend, state] : backends_) {
-    Perform(*state, state->gate.CutOff(timeline_.now()));
+    Perform(*state, state->gate.CloseAllConnections(timeline_.now()));
     ++state->generation;
     for (; state->calls > 0; --state->calls) {
       Record(EventKind::kCallEnd, *state);
@@ -121,7 +121,7 @@
   for (auto& [backend, state] : backends_) {
     GateAccess access = tracker_.AccessTo(backend);
     if (defect_ == PlantedDefect::kIgnoreWatermark &&
-        access == GateAccess::kWaiting) {
+        access == GateAccess::kAwaitingRelease) {
       access = GateAccess::kOpen;
     }
     Perform(*state, state->gate.SetAccess(access, timeline_.now()));
@@ -132,7 +132,7 @@
 void ZoneOwner::RecordReleasedBackends() {
   for (auto& [backend, state] : backends_) {
     if (state->gate.access() != GateAccess::kOpen && state->gate.idle()) {
-      tracker_.OnLetGo(backend);
+      tracker_.OnBackendReleased(backend);
     }
   }
 }
@@ -212,7 +212,7 @@
     reply.kind = ReplyKind::kShed;
     reply.outcome = SubqueryOutcome::kShed;
     reply.answered = true;
-  }  // Otherwise the reply stays kBroken.
+  }  // Otherwise the reply stays kNoUsableAnswer.
   return reply;
 }
 
@@ -276,7 +276,7 @@
   if (state.running.contains(id) && random_.Percent(70)) {
     EndSearch(state, id);
     BackendReply stopped;
-    stopped.kind = ReplyKind::kStopped;
+    stopped.kind = ReplyKind::kNotCompleted;
     stopped.answered = true;
     Perform(state, state.gate.OnReply(id, stopped, timeline_.now()));
   }
--- a/test/property/routing/query_world.cc
+++ b/test/property/routing/query_world.cc
@@ -149,7 +149,7 @@
     Apply(query, query->run->Start(now_));
     if (Chance(0.06)) {
       At(now_ + Between(0, 60),
-         [this, query] { Apply(query, query->run->OnCallerGone(now_)); });
+         [this, query] { Apply(query, query->run->OnClientGone(now_)); });
     }
   }
 
@@ -293,7 +293,7 @@
       }
       Count("failed connects");
       connection.waiting.clear();
-      NotifyLoss(owner, OwnerLoss::kNothingSent);
+      NotifyLoss(owner, OwnerConnectionLoss::kNothingSent);
     });
   }
 
@@ -306,10 +306,10 @@
     Count("hang-ups");
     connection.connected = false;
     ++connection.generation;
-    NotifyLoss(owner, OwnerLoss::kMayHaveRun);
+    NotifyLoss(owner, OwnerConnectionLoss::kMayHaveReceived);
   }
 
-  void NotifyLoss(OwnerId owner, OwnerLoss loss) {
+  void NotifyLoss(OwnerId owner, OwnerConnectionLoss loss) {
     connections_[owner].backoff_until = now_ + kReconnectBackoff;
     front_.owners.OnLost(owner, now_);
     for (const QueryPointer& query : std::vector(queries_)) {
@@ -319,7 +319,7 @@
       for (auto& [id, sent] : query->record.sent) {
         if (sent.owner == owner && !sent.completed && !sent.cancelled) {
           sent.completed = true;
-          sent.delivered_not_run = loss == OwnerLoss::kNothingSent;
+          sent.delivered_not_run = loss == OwnerConnectionLoss::kNothingSent;
         }
       }
       Apply(query, query->run->OnOwnerLost(owner, loss, now_));
@@ -391,9 +391,10 @@
       sent.delivered_rows = outcome == SubqueryOutcome::kRows;
       sent.delivered_not_run = !sent.begun;
     }
-    std::vector<SubqueryReply> replies;
+    std::vector<OwnerResult> replies;
     replies.push_back(MakeReply(sent, id, outcome));
-    Apply(query, query->run->OnReplies(sent.owner, std::move(replies), now_));
+    Apply(query,
+          query->run->OnSubqueryResults(sent.owner, std::move(replies), now_));
   }
 
   // Delivers a result for an attempt that does not exist or belongs to another
@@ -405,15 +406,16 @@
     }
     const SentSubquery& sent = query->record.sent.at(id);
     const bool other_owner = Chance(0.5);
-    std::vector<SubqueryReply> replies;
+    std::vector<OwnerResult> replies;
     replies.push_back(MakeReply(sent, other_owner ? id : id + 1000, outcome));
     const OwnerId owner = other_owner ? sent.owner + 1 : sent.owner;
-    Apply(query, query->run->OnReplies(owner, std::move(replies), now_));
+    Apply(query,
+          query->run->OnSubqueryResults(owner, std::move(replies), now_));
   }
 
-  SubqueryReply MakeReply(const SentSubquery& sent, AttemptId id,
-                          SubqueryOutcome outcome) {
-    SubqueryReply reply;
+  OwnerResult MakeReply(const SentSubquery& sent, AttemptId id,
+                        SubqueryOutcome outcome) {
+    OwnerResult reply;
     reply.attempt_id = id;
     reply.outcome = outcome;
     reply.load = static_cast<std::uint32_t>(Draw(6));
--- a/test/support/query_fixture.h
+++ b/test/support/query_fixture.h
@@ -130,17 +130,17 @@
   return block;
 }
 
-inline routing::SubqueryReply Outcome(const Sent& sent,
-                                      routing::SubqueryOutcome outcome) {
-  routing::SubqueryReply reply;
+inline routing::OwnerResult Outcome(const Sent& sent,
+                                    routing::SubqueryOutcome outcome) {
+  routing::OwnerResult reply;
   reply.attempt_id = sent.attempt;
   reply.outcome = outcome;
   return reply;
 }
 
 // The subquery's first key as its one row.
-inline routing::SubqueryReply Rows(const Sent& sent) {
-  routing::SubqueryReply reply = Outcome(sent, routing::SubqueryOutcome::kRows);
+inline routing::OwnerResult Rows(const Sent& sent) {
+  routing::OwnerResult reply = Outcome(sent, routing::SubqueryOutcome::kRows);
   reply.block = RowsOf(sent.index_version, {sent.range.begin});
   return reply;
 }
@@ -165,7 +165,7 @@
   }
 
   // The next index version is served, with its own partition map.
-  void ServeNext(std::uint32_t partitions) {
+  void ServeNextVersion(std::uint32_t partitions) {
     const resources::IndexVersion next = view.serving.at(kService) + 1;
     view.snapshots[{kService, next}] = SnapshotOf(partitions, next);
     view.serving[kService] = next;
@@ -173,13 +173,13 @@
   }
 
   // Teaches the service's latency tracker that subqueries take `latency`.
-  void LearnLatency(Duration latency) {
+  void RecordLatencySamples(Duration latency) {
     for (int i = 0; i < 100; ++i) {
       front.services[kService].latency.Record(latency);
     }
   }
 
-  void SpendBudget() {
+  void ExhaustRetryBudget() {
     while (front.services[kService].budget.TryWithdraw()) {
     }
   }
@@ -190,11 +190,11 @@
     return run->Start(request.received);
   }
 
-  routing::Actions Reply(const Sent& sent, routing::SubqueryReply reply,
+  routing::Actions Reply(const Sent& sent, routing::OwnerResult reply,
                          MonotonicTime now) {
-    std::vector<routing::SubqueryReply> replies;
+    std::vector<routing::OwnerResult> replies;
     replies.push_back(std::move(reply));
-    return run->OnReplies(sent.owner, std::move(replies), now);
+    return run->OnSubqueryResults(sent.owner, std::move(replies), now);
   }
   routing::Actions Reply(const Sent& sent, routing::SubqueryOutcome outcome,
                          MonotonicTime now) {
--- a/test/unit/forwarding/startup_queue_test.cc
+++ b/test/unit/forwarding/startup_queue_test.cc
@@ -13,7 +13,7 @@
 class FakeResponder : public net::HttpResponder {
  public:
   void Send(net::HttpResponse response) override { sent = response.status; }
-  void OnCallerGone(std::function<void()> listener) override {
+  void OnClientGone(std::function<void()> listener) override {
     gone = std::move(listener);
   }
 
--- a/test/unit/net/http_test.cc
+++ b/test/unit/net/http_test.cc
@@ -211,7 +211,7 @@
   int gone = 0;
   HttpServer server(context, LoopbackOptions(),
                     [&](const HttpRequest&, auto responder) {
-                      responder->OnCallerGone([&] { ++gone; });
+                      responder->OnClientGone([&] { ++gone; });
                       waiting = responder;
                     });
   HttpClient client(context, 0);
@@ -234,13 +234,13 @@
   int gone = 0;
   HttpServer server(context, LoopbackOptions(),
                     [&](const HttpRequest&, auto responder) {
-                      responder->OnCallerGone([&] { ++gone; });
+                      responder->OnClientGone([&] { ++gone; });
                       responder->Send({});
                     });
   bool closed = false;
   HttpServer other(context, LoopbackOptions(),
                    [&](const HttpRequest&, auto responder) {
-                     responder->OnCallerGone([&] { closed = true; });
+                     responder->OnClientGone([&] { closed = true; });
                      responder->Send({});
                    });
   {
--- a/test/unit/owner/backend_gate_test.cc
+++ b/test/unit/owner/backend_gate_test.cc
@@ -39,7 +39,7 @@
   // The answer to the cancel does not end the search.
   CHECK(Started(gate.OnCancelDone(At(11))).empty());
   BackendReply stopped;
-  stopped.kind = ReplyKind::kStopped;
+  stopped.kind = ReplyKind::kNotCompleted;
   stopped.answered = true;
   CHECK(Started(gate.OnReply(1, stopped, At(12))) ==
         std::vector<SubqueryId>{3});
@@ -49,7 +49,7 @@
   BackendGate gate = OpenGate(kTwoSlots, At(0));
   gate.Submit(1, At(1000), At(0));
   gate.Cancel(1, At(10));
-  const MonotonicTime close_at = At(10) + BackendGate::kAnswerGrace;
+  const MonotonicTime close_at = At(10) + BackendGate::kLateAnswerTimeout;
   REQUIRE(gate.NextTimer(At(10)) == close_at);
   CHECK(gate.OnTimer(close_at - Duration(1)).empty());
   CHECK(IdsOf(gate.OnTimer(close_at), GateActionKind::kCloseConnection) ==
@@ -64,7 +64,8 @@
   const GateActions expired = gate.OnTimer(At(100));
   CHECK(OutcomeOf(expired, 1) == SubqueryOutcome::kExpiredStarted);
   CHECK(gate.running() == 1);
-  const GateActions closed = gate.OnTimer(At(100) + BackendGate::kAnswerGrace);
+  const GateActions closed =
+      gate.OnTimer(At(100) + BackendGate::kLateAnswerTimeout);
   CHECK(IdsOf(closed, GateActionKind::kCloseConnection).size() == 1);
   CHECK(closed.size() == 1);
   CHECK(gate.running() == 0);
@@ -92,7 +93,7 @@
   gate.Submit(1, At(1000), At(0));
   gate.Submit(2, At(1000), At(0));
   gate.Cancel(1, At(10));
-  const MonotonicTime close_at = At(10) + BackendGate::kAnswerGrace;
+  const MonotonicTime close_at = At(10) + BackendGate::kLateAnswerTimeout;
   const GateActions closed = gate.OnTimer(close_at);
   CHECK(IdsOf(closed, GateActionKind::kCloseConnection) ==
         std::vector<SubqueryId>{1});
@@ -204,7 +205,8 @@
           SubqueryOutcome::kNotOwner);
   }
   SUBCASE("waiting for the previous owner") {
-    const GateActions actions = gate.SetAccess(GateAccess::kWaiting, At(1));
+    const GateActions actions =
+        gate.SetAccess(GateAccess::kAwaitingRelease, At(1));
     CHECK(OutcomeOf(actions, 2) == SubqueryOutcome::kNotOwner);
     CHECK(FinishOf(actions, 2)->retry_after > Duration::zero());
   }
@@ -223,7 +225,7 @@
       OpenGate({.slots = 1, .maximum_connections = 4, .queue_limit = 4}, At(0));
   gate.Submit(1, At(1000), At(0));
   gate.Submit(2, At(1000), At(0));
-  const GateActions actions = gate.CutOff(At(1));
+  const GateActions actions = gate.CloseAllConnections(At(1));
   CHECK(OutcomeOf(actions, 1) == SubqueryOutcome::kLost);
   CHECK(OutcomeOf(actions, 2) == SubqueryOutcome::kNotOwner);
   CHECK(IdsOf(actions, GateActionKind::kCloseConnection) ==
@@ -349,7 +351,7 @@
 
 TEST_CASE("A breaker that may not open keeps admitting subqueries") {
   BackendGate gate = OpenGate(kTwoSlots, At(0));
-  gate.SetMayEject(false, At(0));
+  gate.SetEjectionAllowed(false, At(0));
   for (SubqueryId id = 1; id < 20; ++id) {
     CHECK(Started(gate.Submit(id, At(9000), At(0))).size() == 1);
     gate.OnReply(id, Broken(), At(0));
--- a/test/unit/owner/backend_reply_test.cc
+++ b/test/unit/owner/backend_reply_test.cc
@@ -111,9 +111,9 @@
     const BackendReply reply =
         InterpretSearchReply(Answer(200, {}, body), kExpected);
     CHECK(reply.outcome == SubqueryOutcome::kLost);
-    CHECK(reply.kind == ReplyKind::kBroken);
+    CHECK(reply.kind == ReplyKind::kNoUsableAnswer);
     CHECK(reply.rows.empty());
-    CHECK_FALSE(reply.fault.empty());
+    CHECK_FALSE(reply.discard_reason.empty());
   }
 }
 
--- a/test/unit/owner/fair_queue_test.cc
+++ b/test/unit/owner/fair_queue_test.cc
@@ -82,7 +82,7 @@
   queue.Insert(2, At(11), kQuiet);
   queue.Insert(3, At(20), kNoisy);
   const FairQueue::Entry refused = queue.TakeNext(At(0));
-  queue.Forget(refused.id);
+  queue.ReleaseUncharged(refused.id);
   CHECK(queue.Remove(2));
   CHECK_FALSE(queue.Remove(2));
   queue.Insert(4, At(12), kQuiet);
@@ -95,7 +95,7 @@
   for (SubqueryId id = 1; id <= 4; ++id) {
     queue.Insert(id, At(static_cast<std::int64_t>(id)), kQuiet);
   }
-  CHECK(queue.LastOfLongest().id == 101);
+  CHECK(queue.NextToShed().id == 101);
   CHECK(queue.Earliest().id == 1);
 }
 
--- a/test/unit/owner/ownership_tracker_test.cc
+++ b/test/unit/owner/ownership_tracker_test.cc
@@ -43,7 +43,7 @@
   CHECK(tracker.OnView(Share(view)).gained == OwnedBy("g1", view));
   tracker.OnLeaseGained();
   tracker.OnZoneReleased(4);
-  CHECK(tracker.AccessTo(mine) == GateAccess::kWaiting);
+  CHECK(tracker.AccessTo(mine) == GateAccess::kAwaitingRelease);
   CHECK(tracker.released() == 5);
   tracker.OnZoneReleased(5);
   CHECK(tracker.AccessTo(mine) == GateAccess::kOpen);
@@ -78,7 +78,7 @@
   CHECK(tracker.released() == 5);
   for (const std::string& name : lost) {
     CHECK(tracker.released() == 5);
-    tracker.OnLetGo(name);
+    tracker.OnBackendReleased(name);
   }
   CHECK(tracker.released() == 7);
 }
@@ -93,15 +93,15 @@
   tracker.OnZoneReleased(5);
   for (const auto& lost : tracker.OnView(Share(TwoGateways(6))).lost) {
     if (lost != name) {
-      tracker.OnLetGo(lost);
+      tracker.OnBackendReleased(lost);
     }
   }
   alone.revision = 7;
   tracker.OnView(Share(alone));
   CHECK(tracker.released() == 5);
   tracker.OnZoneReleased(7);
-  CHECK(tracker.AccessTo(name) == GateAccess::kWaiting);
-  tracker.OnLetGo(name);
+  CHECK(tracker.AccessTo(name) == GateAccess::kAwaitingRelease);
+  tracker.OnBackendReleased(name);
   CHECK(tracker.released() == 7);
   CHECK(tracker.AccessTo(name) == GateAccess::kOpen);
 }
@@ -131,7 +131,7 @@
   tracker.OnLeaseGained();
   tracker.OnView(Share(TwoGateways(7)));
   tracker.OnZoneReleased(5);
-  CHECK(tracker.AccessTo(mine) == GateAccess::kWaiting);
+  CHECK(tracker.AccessTo(mine) == GateAccess::kAwaitingRelease);
   tracker.OnView(Share(TwoGateways(8)));
   tracker.OnZoneReleased(7);
   CHECK(tracker.AccessTo(mine) == GateAccess::kOpen);
@@ -149,7 +149,7 @@
   CHECK(tracker.AccessTo(mine) == GateAccess::kClosed);
   tracker.OnView(Share(TwoGateways(9)));
   tracker.OnLeaseGained();
-  CHECK(tracker.AccessTo(mine) == GateAccess::kWaiting);
+  CHECK(tracker.AccessTo(mine) == GateAccess::kAwaitingRelease);
   tracker.OnZoneReleased(9);
   CHECK(tracker.AccessTo(mine) == GateAccess::kOpen);
 }
--- a/test/unit/routing/query_run_extra_test.cc
+++ b/test/unit/routing/query_run_extra_test.cc
@@ -19,7 +19,7 @@
 TEST_CASE(
     "a straggler is hedged at the latency quantile, the loser is cancelled") {
   QueryFixture fixture({.partitions = 1, .replicas = 2});
-  fixture.LearnLatency(milliseconds(10));
+  fixture.RecordLatencySamples(milliseconds(10));
   const std::vector<Sent> first = SentIn(fixture.Start());
   CHECK(fixture.run->next_timer() < At(12));
   CHECK(SentIn(fixture.run->OnTimer(At(8))).empty());
@@ -50,18 +50,18 @@
 TEST_CASE("no hedge: switched off, no samples, no budget, or replica busy") {
   QueryFixture fixture({.partitions = 1, .replicas = 2});
   SUBCASE("switched off") {
-    fixture.LearnLatency(milliseconds(10));
+    fixture.RecordLatencySamples(milliseconds(10));
     fixture.service().hedging = false;
     fixture.Start();
   }
   SUBCASE("no latency samples") { fixture.Start(); }
   SUBCASE("no budget") {
-    fixture.LearnLatency(milliseconds(10));
+    fixture.RecordLatencySamples(milliseconds(10));
     fixture.Start();
-    fixture.SpendBudget();
+    fixture.ExhaustRetryBudget();
   }
   SUBCASE("the other replica is busy") {
-    fixture.LearnLatency(milliseconds(10));
+    fixture.RecordLatencySamples(milliseconds(10));
     for (const char* name : {"backend-0-0", "backend-0-1"}) {
       fixture.front.backends.OnLoad(fixture.front.backend_names.IdOf(name), 300,
                                     100, At(0));
@@ -86,7 +86,7 @@
     CHECK(fixture.front.counters.retries == 1);
   }
   SUBCASE("without budget: the query ends at once") {
-    fixture.SpendBudget();
+    fixture.ExhaustRetryBudget();
     const Actions last = fixture.Reply(first[0], SubqueryOutcome::kLost, At(1));
     CHECK(test::RefusalIn(last).execution == ExecutionState::kMayHaveRun);
     CHECK(test::RefusalIn(last).retry_after.has_value());
@@ -95,13 +95,13 @@
 
 TEST_CASE("reroutes take no budget and are bounded") {
   QueryFixture fixture({.partitions = 1, .replicas = 2});
-  fixture.SpendBudget();
+  fixture.ExhaustRetryBudget();
   SubqueryOutcome outcome = SubqueryOutcome::kNotOwner;
   SUBCASE("not owner") { outcome = SubqueryOutcome::kNotOwner; }
   SUBCASE("unreachable") { outcome = SubqueryOutcome::kUnreachable; }
   SUBCASE("wrong snapshot") { outcome = SubqueryOutcome::kWrongSnapshot; }
   fixture.request.deadline = At(60000);
-  fixture.SpendBudget();
+  fixture.ExhaustRetryBudget();
   Actions actions = fixture.Start();
   std::size_t sent_count = 0;
   while (!actions.outcome.has_value()) {
@@ -138,7 +138,7 @@
   // Every first subquery takes longer than the recorded latencies, so that each
   // one becomes due for a hedge.
   for (int query = 0; query < 300; ++query) {
-    fixture.LearnLatency(milliseconds(5));
+    fixture.RecordLatencySamples(milliseconds(5));
     const std::int64_t start = 100 * query;
     fixture.request.received = At(start);
     fixture.request.deadline = At(start + 90);
@@ -159,7 +159,7 @@
   QueryFixture fixture({.partitions = 4, .replicas = 1});
   const std::vector<Sent> old = SentIn(fixture.Start());
   const double before = fixture.front.services[test::kService].budget.balance();
-  fixture.ServeNext(4);
+  fixture.ServeNextVersion(4);
   fixture.Reply(old[0], SubqueryOutcome::kWrongSnapshot, At(1));
   const double after = fixture.front.services[test::kService].budget.balance();
   // Three of the four earlier attempts may have run.
@@ -169,7 +169,7 @@
 TEST_CASE(
     "not repeatable: no hedge, and no retry of an attempt that may have run") {
   QueryFixture fixture({.partitions = 2, .replicas = 2});
-  fixture.LearnLatency(milliseconds(10));
+  fixture.RecordLatencySamples(milliseconds(10));
   fixture.request.repeatable = false;
   const std::vector<Sent> first = SentIn(fixture.Start());
   for (int ms = 10; ms < 500; ms += 10) {
@@ -192,7 +192,7 @@
   }
   SUBCASE("owner lost after sending: not sent again") {
     const Actions lost = fixture.run->OnOwnerLost(
-        first[0].owner, OwnerLoss::kMayHaveRun, At(500));
+        first[0].owner, OwnerConnectionLoss::kMayHaveReceived, At(500));
     CHECK(SentIn(lost).empty());
   }
   SUBCASE("batch not sent: sent to another backend") {
@@ -207,7 +207,7 @@
   QueryFixture fixture({.partitions = 2, .replicas = 1});
   fixture.request.repeatable = false;
   const std::vector<Sent> old = SentIn(fixture.Start());
-  fixture.ServeNext(2);
+  fixture.ServeNextVersion(2);
   SUBCASE("the other partition ran") {
     fixture.Reply(old[0], test::Rows(old[0]), At(1));
     Actions actions =
@@ -241,10 +241,10 @@
 // reported load, the other partition answers.
 QueryOutcome EndWithOneShed(QueryFixture& fixture, std::uint32_t load) {
   const std::vector<Sent> sent = SentIn(fixture.Start());
-  SubqueryReply shed = Outcome(sent[0], SubqueryOutcome::kShed);
+  OwnerResult shed = Outcome(sent[0], SubqueryOutcome::kShed);
   shed.load = load;
   shed.slots = 4;
-  fixture.SpendBudget();
+  fixture.ExhaustRetryBudget();
   fixture.Reply(sent[0], std::move(shed), At(1));
   return fixture.Reply(sent[1], test::Rows(sent[1]), At(2)).outcome.value();
 }
@@ -254,17 +254,20 @@
   QueryFixture fixture({.partitions = 2, .replicas = 1});
   SUBCASE("busy") {
     const QueryOutcome outcome = EndWithOneShed(fixture, 4);
-    CHECK(fixture.run->LoadSignal(outcome) == AdmissionLimit::End::kOverloaded);
+    CHECK(fixture.run->LoadEvidenceOf(outcome) ==
+          AdmissionLimit::LoadEvidence::kOverloaded);
   }
   SUBCASE("idle: a breaker or fault, which a lower limit would not help") {
     const QueryOutcome outcome = EndWithOneShed(fixture, 0);
-    CHECK(fixture.run->LoadSignal(outcome) == AdmissionLimit::End::kOther);
+    CHECK(fixture.run->LoadEvidenceOf(outcome) ==
+          AdmissionLimit::LoadEvidence::kOther);
   }
   SUBCASE("the coverage meets the service's minimum") {
     fixture.service().answer_policy = resources::AnswerPolicy::kLatency;
     fixture.service().minimum_coverage = 0.5;
     const QueryOutcome outcome = EndWithOneShed(fixture, 4);
-    CHECK(fixture.run->LoadSignal(outcome) == AdmissionLimit::End::kServed);
+    CHECK(fixture.run->LoadEvidenceOf(outcome) ==
+          AdmissionLimit::LoadEvidence::kServed);
   }
 }
 
--- a/test/unit/routing/query_run_test.cc
+++ b/test/unit/routing/query_run_test.cc
@@ -33,7 +33,7 @@
   Actions actions;
   for (const std::size_t i : {3U, 1U, 0U, 2U}) {
     CHECK(!actions.outcome.has_value());
-    SubqueryReply reply = test::Rows(sent[i]);
+    OwnerResult reply = test::Rows(sent[i]);
     if (i == 1) {
       reply.block = test::RowsOf(1, {150, 120});
     }
@@ -72,7 +72,7 @@
 TEST_CASE("rows outside the subquery's range are dropped and counted") {
   QueryFixture fixture({.partitions = 2});
   const std::vector<Sent> sent = SentIn(fixture.Start());
-  SubqueryReply reply = Outcome(sent[0], SubqueryOutcome::kRows);
+  OwnerResult reply = Outcome(sent[0], SubqueryOutcome::kRows);
   reply.block = test::RowsOf(1, {5, 100, 250});
   reply.dropped_rows = 3;
   fixture.Reply(sent[0], std::move(reply), At(1));
@@ -87,7 +87,7 @@
   const Actions first = fixture.Start();
   CHECK(first.batches.front().row_limit == 3);
   const std::vector<Sent> sent = SentIn(first);
-  SubqueryReply reply = Outcome(sent[0], SubqueryOutcome::kRows);
+  OwnerResult reply = Outcome(sent[0], SubqueryOutcome::kRows);
   reply.block = test::RowsOf(1, {7, 8});
   fixture.Reply(sent[0], std::move(reply), At(1));
   const Actions last = fixture.Reply(sent[1], test::Rows(sent[1]), At(1));
@@ -99,7 +99,7 @@
   QueryFixture fixture({.partitions = 2});
   const std::vector<Sent> sent = SentIn(fixture.Start());
   fixture.Reply(sent[0], test::Rows(sent[0]), At(1));
-  SubqueryReply twice = test::Rows(sent[0]);
+  OwnerResult twice = test::Rows(sent[0]);
   twice.block = test::RowsOf(1, {1, 2, 3});
   fixture.Reply(sent[0], std::move(twice), At(2));
   CHECK(fixture.front.counters.duplicate_results == 1);
@@ -184,7 +184,7 @@
 
   SUBCASE(
       "shed before its start: not run, refused at once with a retry-after") {
-    SubqueryReply reply = Outcome(sent[0], SubqueryOutcome::kShed);
+    OwnerResult reply = Outcome(sent[0], SubqueryOutcome::kShed);
     reply.retry_after = milliseconds(700);
     const Actions last = fixture.Reply(sent[0], std::move(reply), At(3));
     const Refusal& refusal = test::RefusalIn(last);
@@ -215,15 +215,15 @@
     CHECK(test::RefusalIn(last).error.code == ErrorCode::kDeadlineExceeded);
   }
   SUBCASE("owner lost: may have run") {
-    fixture.SpendBudget();
-    const Actions last =
-        fixture.run->OnOwnerLost(sent[0].owner, OwnerLoss::kMayHaveRun, At(3));
+    fixture.ExhaustRetryBudget();
+    const Actions last = fixture.run->OnOwnerLost(
+        sent[0].owner, OwnerConnectionLoss::kMayHaveReceived, At(3));
     CHECK(test::RefusalIn(last).execution == ExecutionState::kMayHaveRun);
   }
   SUBCASE(
       "owner never reached: not run, refused when too little time remains") {
-    Actions last =
-        fixture.run->OnOwnerLost(sent[0].owner, OwnerLoss::kNothingSent, At(3));
+    Actions last = fixture.run->OnOwnerLost(
+        sent[0].owner, OwnerConnectionLoss::kNothingSent, At(3));
     while (!last.outcome.has_value()) {
       const MonotonicTime next = fixture.run->next_timer();
       last = fixture.run->OnTimer(next);
@@ -239,7 +239,7 @@
   QueryFixture fixture;
   const std::vector<Sent> sent = SentIn(fixture.Start());
   fixture.Reply(sent[0], test::Rows(sent[0]), At(1));
-  const Actions last = fixture.run->OnCallerGone(At(2));
+  const Actions last = fixture.run->OnClientGone(At(2));
   CHECK(CancelledIn(last).size() == 3);
   CHECK(std::get<Abandoned>(last.outcome.value()).execution ==
         ExecutionState::kMayHaveRun);
@@ -261,7 +261,7 @@
   fixture.Reply(old[0], test::Rows(old[0]), At(5));
   // The new version has three partitions; the answer must not contain rows of
   // the old version.
-  fixture.ServeNext(3);
+  fixture.ServeNextVersion(3);
   const Actions restart =
       fixture.Reply(old[1], SubqueryOutcome::kWrongSnapshot, At(6));
   const std::vector<Sent> fresh = SentIn(restart);
@@ -286,7 +286,7 @@
 TEST_CASE("wrong snapshot at one replica: another holder gets the subquery") {
   QueryFixture fixture({.partitions = 1, .replicas = 2});
   const std::vector<Sent> sent = SentIn(fixture.Start());
-  fixture.ServeNext(1);
+  fixture.ServeNextVersion(1);
   const Actions again =
       fixture.Reply(sent[0], SubqueryOutcome::kWrongSnapshot, At(6));
   REQUIRE(SentIn(again).size() == 1);
@@ -301,7 +301,7 @@
       fixture.Reply(sent[0], SubqueryOutcome::kWrongSnapshot, At(6));
   CHECK(!waits.outcome.has_value());
   CHECK(waits.batches.empty());
-  fixture.ServeNext(1);
+  fixture.ServeNextVersion(1);
   const Actions restart = fixture.run->OnTimer(fixture.run->next_timer());
   REQUIRE(SentIn(restart).size() == 1);
   CHECK(SentIn(restart)[0].index_version == 2);
