--- a/source/common/control/api_server.cc
+++ b/source/common/control/api_server.cc
@@ -28,7 +28,7 @@
 constexpr std::string_view kBearer = "Bearer ";
 
 asio::ip::tcp::endpoint ListenEndpoint(const ApiServer::Options& options) {
-  if (!options.bearer_token.empty() || options.open) {
+  if (!options.bearer_token.empty() || options.allow_without_token) {
     return options.listen;
   }
   logging::LogEvent(kApiLoopbackOnly, {{"port", options.listen.port()}});
@@ -106,8 +106,8 @@
   } else if (is_read && request.Parameter("local") == "true") {
     answer(ports_.read_locally(*call));
   } else {
-    ports_.call(std::move(*call), ReadMonotonicClock() + options_.call_timeout,
-                answer);
+    ports_.forward_to_leader(
+        std::move(*call), ReadMonotonicClock() + options_.call_timeout, answer);
   }
 }
 
@@ -162,22 +162,23 @@
 }
 
 void ApiServer::GetStatus(ApiCall call, const ApiCallback& answer) {
-  ports_.call(std::move(call), ReadMonotonicClock() + kStatusTimeout,
-              [this, answer](const net::HttpResponse& response) {
-                json body = {{"leader_reachable", false},
-                             {"tolerated_losses", -1},
-                             {"repaired", false}};
-                if (response.status == kStatusOk) {
-                  body = json::parse(response.body);
-                  body["leader_reachable"] = true;
-                }
-                body.update(ports_.describe_node());
-                answer(JsonResponse(kStatusOk, body));
-              });
+  ports_.forward_to_leader(std::move(call),
+                           ReadMonotonicClock() + kStatusTimeout,
+                           [this, answer](const net::HttpResponse& response) {
+                             json body = {{"leader_reachable", false},
+                                          {"tolerated_losses", -1},
+                                          {"repaired", false}};
+                             if (response.status == kStatusOk) {
+                               body = json::parse(response.body);
+                               body["leader_reachable"] = true;
+                             }
+                             body.update(ports_.describe_node());
+                             answer(JsonResponse(kStatusOk, body));
+                           });
 }
 
 net::HttpResponse ApiServer::GetBackup() const {
-  auto content = ports_.backup();
+  auto content = ports_.create_backup();
   if (!content) {
     return FailureResponse(content.error());
   }
--- a/source/common/control/api_server.h
+++ b/source/common/control/api_server.h
@@ -23,10 +23,10 @@
   struct Options {
     asio::ip::tcp::endpoint listen;
     // If empty, the server listens on the loopback interface only, unless
-    // `open` is set.
+    // `allow_without_token` is set.
     std::string bearer_token;
     // Listens on `listen` even without a token.
-    bool open = false;
+    bool allow_without_token = false;
     // Bounds the wait for the leader's answer to a forwarded call.
     Duration call_timeout = seconds(5);
     // Seed of the generated change ids.
@@ -37,13 +37,14 @@
     std::function<const ControlState&()> state;
     // Forwards a call to the leader and passes on the leader's answer, or 503
     // or 504.
-    std::function<void(ApiCall, MonotonicTime deadline, ApiCallback)> call;
+    std::function<void(ApiCall, MonotonicTime deadline, ApiCallback)>
+        forward_to_leader;
     // Answers a read from this node's state, which may lag behind the leader's.
     std::function<net::HttpResponse(const ApiCall&)> read_locally;
     // This node's own fields of /v1/status.
     std::function<nlohmann::json()> describe_node;
     // Creates the content of a backup file.
-    std::function<Result<std::string>()> backup;
+    std::function<Result<std::string>()> create_backup;
   };
 
   // Throws std::exception when the address cannot be bound.
--- a/source/common/control/control_node_setup.cc
+++ b/source/common/control/control_node_setup.cc
@@ -192,7 +192,7 @@
                 AnnounceProgress(in_force, zones);
               },
           .on_queued = [this] { ScheduleFlush(); },
-          .on_confirmed = [this] { ScheduleAdvance(); }});
+          .on_watermark_change = [this] { ScheduleAdvance(); }});
   if (!options_.seeds.empty()) {
     role_->EnableMemberRepair({.wanted_voters = options_.wanted_voters});
     join_client_ = std::make_unique<JoinClient>(
@@ -253,17 +253,17 @@
   observations_ = std::make_unique<ObservationExchange>(
       context_,
       ObservationExchange::Ports{
-          .to_machines =
+          .send_to_control_nodes =
               [this](const observation::BackendObservations& observations) {
                 SendObservations(observations);
               },
-          .to_daemons =
+          .send_to_routers =
               [this](const observation::BackendObservations& observations) {
                 sessions_->SendObservations(observations);
               }});
   sessions_ = std::make_unique<SessionServer>(
       context_, options_.node_id, options_.cluster,
-      UpdatePace{options_.update_delay, options_.update_interval},
+      UpdateTiming{options_.update_delay, options_.update_interval},
       SessionServer::Ports{
           .state = [this]() -> const ControlState& { return state_; },
           .forward_heartbeats =
@@ -272,7 +272,7 @@
               },
           .forward_goodbye =
               [this](const DaemonKey& daemon) { ForwardGoodbye(daemon); },
-          .on_observed =
+          .on_observations =
               [this](const observation::BackendObservations& observations) {
                 observations_->OnReport(observations);
               },
@@ -308,12 +308,12 @@
       context_,
       ApiServer::Options{.listen = options_.http_listen,
                          .bearer_token = options_.bearer_token,
-                         .open = options_.open_api,
+                         .allow_without_token = options_.open_api,
                          .call_timeout = options_.call_timeout,
                          .seed = seed_},
       ApiServer::Ports{
           .state = [this]() -> const ControlState& { return state_; },
-          .call =
+          .forward_to_leader =
               [this](ApiCall call, MonotonicTime deadline, ApiCallback answer) {
                 leader_client_->Call(std::move(call), deadline,
                                      std::move(answer));
@@ -323,7 +323,7 @@
                 return resource_api_->ReadLocally(call);
               },
           .describe_node = [this] { return DescribeNode(); },
-          .backup = [this] { return MakeBackup(); }});
+          .create_backup = [this] { return MakeBackup(); }});
 }
 
 }  // namespace juniperway::control
--- a/source/common/control/control_state.cc
+++ b/source/common/control/control_state.cc
@@ -83,7 +83,8 @@
   return applied;
 }
 
-void ControlState::LeaveGap(resources::Revision revisions, WallTime wall_time) {
+void ControlState::SkipRevisions(resources::Revision revisions,
+                                 WallTime wall_time) {
   revision_ += revisions;
   log_.Reset(revision_);
   wall_time_ = std::max(wall_time_, wall_time);
--- a/source/common/control/control_state.h
+++ b/source/common/control/control_state.h
@@ -54,7 +54,7 @@
   // Skips `revisions` and raises the wall time in a state that is restored from
   // a backup, so that the state does not reuse a revision or grant a request id
   // that may have been used after the backup.
-  void LeaveGap(resources::Revision revisions, WallTime wall_time);
+  void SkipRevisions(resources::Revision revisions, WallTime wall_time);
 
   resources::Revision revision() const { return revision_; }
   // Highest timestamp of the commands so far.
--- a/source/common/control/discovery_page.cc
+++ b/source/common/control/discovery_page.cc
@@ -264,7 +264,7 @@
       return "bad_number";
     case EntryFault::kDuplicateId:
       return "duplicate_id";
-    case EntryFault::kUnusableStart:
+    case EntryFault::kInvalidStartTime:
       return "unusable_start";
   }
   return "unknown";
@@ -295,7 +295,7 @@
     const auto start = ReadStart(element, now);
     backend->start = start.value_or(WallTime{});
     if (!start) {
-      ++page.faults[EntryFault::kUnusableStart];
+      ++page.faults[EntryFault::kInvalidStartTime];
     }
     const std::string id = backend->id;
     if (!page.backends.emplace(id, std::move(*backend)).second) {
@@ -305,7 +305,8 @@
   return page;
 }
 
-void AddPage(DiscoveryPage page, DiscoveryList& list, EntryFaults& faults) {
+void MergeDiscoveryPage(DiscoveryPage page, DiscoveryList& list,
+                        EntryFaults& faults) {
   for (const auto& [fault, entries] : page.faults) {
     faults[fault] += entries;
   }
@@ -316,7 +317,7 @@
   }
 }
 
-WallTime ReconcileStart(WallTime known, WallTime listed) {
+WallTime CombineStartTimes(WallTime known, WallTime listed) {
   return std::max(known, listed);
 }
 
--- a/source/common/control/discovery_page.h
+++ b/source/common/control/discovery_page.h
@@ -19,23 +19,23 @@
 // Backends by id.
 using DiscoveryList = std::map<std::string, session::DiscoveredBackend>;
 
-// Why the parser skips an entry or, for kUnusableStart, ignores one field of
+// Why the parser skips an entry or, for kInvalidStartTime, ignores one field of
 // it.
 enum class EntryFault {
-  kUnreadable,     // Is not a JSON object.
-  kMissingField,   // A field is missing, or empty.
-  kWrongType,      // A field has the wrong type.
-  kUnknownState,   // Is neither live nor leaving.
-  kBadAddress,     // Is not a usable "ip:port".
-  kBadNumber,      // A number is out of range.
-  kDuplicateId,    // An earlier entry has the same id.
-  kUnusableStart,  // The start time is invalid or in the future.
+  kUnreadable,        // Is not a JSON object.
+  kMissingField,      // A field is missing, or empty.
+  kWrongType,         // A field has the wrong type.
+  kUnknownState,      // Is neither live nor leaving.
+  kBadAddress,        // Is not a usable "ip:port".
+  kBadNumber,         // A number is out of range.
+  kDuplicateId,       // An earlier entry has the same id.
+  kInvalidStartTime,  // The start time is invalid or in the future.
 };
 inline constexpr std::array kEntryFaults = {
     EntryFault::kUnreadable,  EntryFault::kMissingField,
     EntryFault::kWrongType,   EntryFault::kUnknownState,
     EntryFault::kBadAddress,  EntryFault::kBadNumber,
-    EntryFault::kDuplicateId, EntryFault::kUnusableStart};
+    EntryFault::kDuplicateId, EntryFault::kInvalidStartTime};
 // The fault's name in logs and metrics.
 const char* NameOf(EntryFault fault);
 
@@ -60,11 +60,12 @@
 
 // Merges a page into the entries of the pages before it. The first of two
 // entries with the same id is kept.
-void AddPage(DiscoveryPage page, DiscoveryList& list, EntryFaults& faults);
+void MergeDiscoveryPage(DiscoveryPage page, DiscoveryList& list,
+                        EntryFaults& faults);
 
 // Combines the known start time of a backend with the one that the list now
 // gives. A listed start time that is missing (zero) or earlier than the known
 // one is ignored.
-WallTime ReconcileStart(WallTime known, WallTime listed);
+WallTime CombineStartTimes(WallTime known, WallTime listed);
 
 }  // namespace juniperway::control
--- a/source/common/control/discovery_poller.cc
+++ b/source/common/control/discovery_poller.cc
@@ -71,7 +71,7 @@
     return;
   }
   const std::string next_page = page->next_page;
-  AddPage(std::move(*page), collected_, faults_);
+  MergeDiscoveryPage(std::move(*page), collected_, faults_);
   if (!next_page.empty()) {
     RequestPage(next_page);
     return;
--- a/source/common/control/events.h
+++ b/source/common/control/events.h
@@ -72,8 +72,8 @@
                                            Severity::kInfo};
 inline constexpr EventType kRolloutAdvanced{2147, "rollout_advanced",
                                             Severity::kInfo};
-inline constexpr EventType kRolloutUndone{2148, "rollout_undone",
-                                          Severity::kWarning};
+inline constexpr EventType kRolloutRolledBack{2148, "rollout_undone",
+                                              Severity::kWarning};
 inline constexpr EventType kJoinRequested{2150, "join_requested",
                                           Severity::kInfo};
 inline constexpr EventType kMemberRemoved{2151, "member_removed",
--- a/source/common/control/leader_role.cc
+++ b/source/common/control/leader_role.cc
@@ -106,7 +106,7 @@
                       member == members.end() ? nullptr : &member->second, now);
   }
   pipeline_.OnApplied(entry.index, entry.term, std::move(applied.results));
-  ports_.on_confirmed();
+  ports_.on_watermark_change();
 }
 
 // --- Leases ------------------------------------------------------------------
@@ -139,7 +139,7 @@
     }
   }
   if (leading) {
-    ports_.on_confirmed();
+    ports_.on_watermark_change();
   }
   return replies;
 }
@@ -203,7 +203,7 @@
 void LeaderRole::OnGoodbye(const DaemonKey& daemon) {
   if (leases_.active()) {
     leases_.OnGoodbye(daemon);
-    ports_.on_confirmed();
+    ports_.on_watermark_change();
   }
 }
 
@@ -324,7 +324,7 @@
       .routers = routers,
       .progress =
           [this](resources::Revision revision) {
-            const RevisionParts parts = leases_.PartsOf(revision);
+            const RevisionShares parts = leases_.SharesOf(revision);
             return rollout::RouterProgress{.confirmed = parts.confirmed,
                                            .released = parts.released};
           },
@@ -347,7 +347,7 @@
     operation.canary_answers = due.evidence.canary_answers;
     const bool is_rolled_back =
         due.step.state == rollout::RolloutState::kRolledBack;
-    logging::LogEvent(is_rolled_back ? kRolloutUndone : kRolloutAdvanced,
+    logging::LogEvent(is_rolled_back ? kRolloutRolledBack : kRolloutAdvanced,
                       {{"service", due.service},
                        {"rollout", due.rollout},
                        {"state", rollout::NameOf(due.step.state)},
@@ -435,7 +435,7 @@
     const auto known = stored.find(id);
     session::DiscoveredBackend backend = listed;
     if (known != stored.end()) {
-      backend.start = ReconcileStart(known->second.start, listed.start);
+      backend.start = CombineStartTimes(known->second.start, listed.start);
       const bool has_listed_start = listed.start != WallTime{};
       ignored_starts +=
           has_listed_start && backend.start != listed.start ? 1 : 0;
@@ -486,7 +486,7 @@
     return;
   }
   const FleetStore& fleet = ports_.state().fleet();
-  const std::set<std::string> leaving = MergePlatformLeaving(
+  const std::set<std::string> leaving = MergeLeavingNames(
       list, fleet.platform_leaving, [&fleet](const std::string& name) {
         return fleet.members.contains(name) ||
                fleet.Find({resources::Kind::kBackend, name}) != nullptr;
--- a/source/common/control/leader_role.h
+++ b/source/common/control/leader_role.h
@@ -45,7 +45,7 @@
     // Operations were queued. The owner calls FlushOperations() soon.
     std::function<void()> on_queued;
     // A watermark may have grown. The owner calls Advance() soon.
-    std::function<void()> on_confirmed;
+    std::function<void()> on_watermark_change;
   };
 
   struct Options {
--- a/source/common/control/lease_table.cc
+++ b/source/common/control/lease_table.cc
@@ -197,9 +197,9 @@
   return removals;
 }
 
-RevisionParts LeaseTable::PartsOf(resources::Revision revision) const {
+RevisionShares LeaseTable::SharesOf(resources::Revision revision) const {
   double counted = 0;
-  RevisionParts parts;
+  RevisionShares parts;
   for (const auto& [key, lease] : leases_) {
     const auto member = members_.find(key.daemon_id);
     const bool replaced = member != members_.end() &&
--- a/source/common/control/lease_table.h
+++ b/source/common/control/lease_table.h
@@ -83,7 +83,7 @@
 
 // Shares (0 to 1) of the daemons with a lease that have confirmed a revision,
 // and that have released what they may no longer use at that revision.
-struct RevisionParts {
+struct RevisionShares {
   double confirmed = 0;
   double released = 0;
 };
@@ -142,7 +142,7 @@
 
   // Does not count an incarnation that a later one of the same daemon has
   // replaced: its process has ended, although its lease is still valid.
-  RevisionParts PartsOf(resources::Revision revision) const;
+  RevisionShares SharesOf(resources::Revision revision) const;
 
   RevisionProgress ProgressOf(resources::Revision revision) const;
   std::size_t leases() const { return leases_.size(); }
--- a/source/common/control/observation_exchange.cc
+++ b/source/common/control/observation_exchange.cc
@@ -43,11 +43,11 @@
   relay_scheduled_ = false;
   const auto for_control_nodes = relay_.TakeForControlNodes();
   if (!for_control_nodes.empty()) {
-    ports_.to_machines(for_control_nodes);
+    ports_.send_to_control_nodes(for_control_nodes);
   }
   const auto for_daemons = relay_.TakeForDaemons();
   if (!for_daemons.empty()) {
-    ports_.to_daemons(for_daemons);
+    ports_.send_to_routers(for_daemons);
   }
   ScheduleRelay();
 }
--- a/source/common/control/observation_exchange.h
+++ b/source/common/control/observation_exchange.h
@@ -20,9 +20,9 @@
       std::function<void(const observation::BackendObservations& observations)>;
   struct Ports {
     // Sends to every other control node.
-    Send to_machines;
+    Send send_to_control_nodes;
     // Sends to every router with a session on this node.
-    Send to_daemons;
+    Send send_to_routers;
   };
 
   ObservationExchange(asio::io_context& context, Ports ports);
--- a/source/common/control/platform_poller.cc
+++ b/source/common/control/platform_poller.cc
@@ -42,7 +42,7 @@
   return list;
 }
 
-std::set<std::string> MergePlatformLeaving(
+std::set<std::string> MergeLeavingNames(
     const PlatformList& list, const std::set<std::string>& previously_leaving,
     const std::function<bool(const std::string&)>& in_use) {
   std::set<std::string> leaving = list.leaving;
--- a/source/common/control/platform_poller.h
+++ b/source/common/control/platform_poller.h
@@ -31,7 +31,7 @@
 // Returns the names that are leaving after a poll: those that the list calls
 // leaving, and those of `previously_leaving`, the names that were leaving
 // before the poll, that are no longer on the list but still in use.
-std::set<std::string> MergePlatformLeaving(
+std::set<std::string> MergeLeavingNames(
     const PlatformList& list, const std::set<std::string>& previously_leaving,
     const std::function<bool(const std::string&)>& in_use);
 
--- a/source/common/control/resource_api.cc
+++ b/source/common/control/resource_api.cc
@@ -79,7 +79,7 @@
 
 }  // namespace
 
-Error NameBody(Error error) {
+Error WithBodyField(Error error) {
   if (error.field.empty()) {
     error.field = "body";
   }
@@ -339,7 +339,7 @@
 void ResourceApi::Apply(const ApiCall& call, const ApiCallback& answer) const {
   auto set = resources::ParseResources(call.body);
   if (!set) {
-    answer(FailureResponse(NameBody(set.error())));
+    answer(FailureResponse(WithBodyField(set.error())));
     return;
   }
   protocol::ApplyResourcesT operation;
@@ -464,7 +464,7 @@
     logging::LogEvent(
         kRouteTableRefused,
         {{"change", call.change_id}, {"error", FormatError(table.error())}});
-    answer(FailureResponse(NameBody(table.error())));
+    answer(FailureResponse(WithBodyField(table.error())));
     return;
   }
   protocol::PutRouteTableT operation;
@@ -481,7 +481,7 @@
 Result<raft::Member> ParseMember(const std::string& text) {
   const Result<json> body = ParseJson(text);
   if (!body) {
-    return tl::unexpected(NameBody(body.error()));
+    return tl::unexpected(WithBodyField(body.error()));
   }
   raft::Member member;
   JsonReader reader(*body, "");
@@ -489,7 +489,7 @@
                   Presence::kRequired);
   reader.Text("address", &member.address, Presence::kRequired);
   if (const auto error = reader.Finish()) {
-    return tl::unexpected(NameBody(*error));
+    return tl::unexpected(WithBodyField(*error));
   }
   const auto endpoint = net::ParseRemoteEndpoint(member.address, "address");
   if (!endpoint) {
--- a/source/common/control/resource_api.h
+++ b/source/common/control/resource_api.h
@@ -95,7 +95,7 @@
 
 // Sets the field of an error that names none, because it concerns the whole
 // body, to "body".
-Error NameBody(Error error);
+Error WithBodyField(Error error);
 
 // Encodes `body` as the body of an answer.
 net::HttpResponse JsonResponse(int status, const nlohmann::json& body);
--- a/source/common/control/resource_api_rollouts.cc
+++ b/source/common/control/resource_api_rollouts.cc
@@ -34,7 +34,7 @@
 Result<RolloutRequest> ParseRolloutRequest(const std::string& text) {
   const Result<json> body = ParseJson(text);
   if (!body) {
-    return tl::unexpected(NameBody(body.error()));
+    return tl::unexpected(WithBodyField(body.error()));
   }
   RolloutRequest request;
   JsonReader reader(*body, "");
@@ -54,7 +54,7 @@
     reader.Fail("duration_s", "must be given");
   }
   if (const auto error = reader.Finish()) {
-    return tl::unexpected(NameBody(*error));
+    return tl::unexpected(WithBodyField(*error));
   }
   return request;
 }
--- a/source/common/control/session_server.cc
+++ b/source/common/control/session_server.cc
@@ -43,7 +43,8 @@
 }  // namespace
 
 SessionServer::SessionServer(asio::io_context& context, raft::NodeId node_id,
-                             std::string cluster, UpdatePace pace, Ports ports)
+                             std::string cluster, UpdateTiming pace,
+                             Ports ports)
     : context_(context),
       node_id_(node_id),
       cluster_(std::move(cluster)),
@@ -125,7 +126,7 @@
   if (const auto* heartbeat = frame->message.AsHeartbeat()) {
     OnHeartbeat(session, *heartbeat);
   } else if (const auto* observed = frame->message.AsBackendObservations()) {
-    ports_.on_observed(session::DecodeObservations(*observed));
+    ports_.on_observations(session::DecodeObservations(*observed));
   } else if (const auto* call = frame->message.AsSessionCall()) {
     OnCall(number, session, *call);
   } else if (frame->message.AsSessionGoodbye() != nullptr) {
--- a/source/common/control/session_server.h
+++ b/source/common/control/session_server.h
@@ -30,7 +30,7 @@
     std::vector<std::unique_ptr<protocol::MemberHeartbeatReplyT>>;
 
 // Limits how often a control node sends updates to daemons.
-struct UpdatePace {
+struct UpdateTiming {
   // Delay after a change, so that one update carries several changes.
   Duration delay;
   // Minimum interval between two updates to one daemon.
@@ -49,13 +49,14 @@
     // Forwards to the leader that a daemon has stopped and released its lease.
     std::function<void(const DaemonKey&)> forward_goodbye;
     // Receives the observations of backends that a daemon reports.
-    std::function<void(const observation::BackendObservations&)> on_observed;
+    std::function<void(const observation::BackendObservations&)>
+        on_observations;
     // Forwards operations to the leader and passes on their results.
     std::function<void(Operations, CommandPipeline::Callback)> submit;
   };
 
   SessionServer(asio::io_context& context, raft::NodeId node_id,
-                std::string cluster, UpdatePace pace, Ports ports);
+                std::string cluster, UpdateTiming pace, Ports ports);
   ~SessionServer();
   SessionServer(const SessionServer&) = delete;
   SessionServer& operator=(const SessionServer&) = delete;
@@ -143,7 +144,7 @@
   asio::io_context& context_;
   raft::NodeId node_id_;
   std::string cluster_;
-  UpdatePace pace_;
+  UpdateTiming pace_;
   Ports ports_;
   asio::steady_timer update_timer_;
   // When the timer fires; nothing if it is not armed.
--- a/source/common/control/store_restore.cc
+++ b/source/common/control/store_restore.cc
@@ -139,7 +139,7 @@
 
 }  // namespace
 
-Result<ControlState> StateOfBackup(const raft::InitialState& stored) {
+Result<ControlState> BuildStateFromBackup(const raft::InitialState& stored) {
   ControlState state;
   if (!stored.snapshot.data.empty()) {
     auto decoded = ControlState::DecodeSnapshot(stored.snapshot.data);
@@ -169,7 +169,7 @@
   if (auto unused = CheckUnusedNodeId(*backup, options.member.id); !unused) {
     return tl::unexpected(unused.error());
   }
-  auto state = StateOfBackup(backup->state);
+  auto state = BuildStateFromBackup(backup->state);
   if (!state) {
     return tl::unexpected(state.error());
   }
@@ -177,8 +177,9 @@
   restored.cluster =
       options.cluster.empty() ? backup->cluster : options.cluster;
   restored.backup_revision = state->revision();
-  restored.claims_from = ClaimsRefusedUntil(*state, options.now);
-  state->LeaveGap(options.skipped_revisions, restored.claims_from);
+  restored.claims_refused_until = ClaimsRefusedUntil(*state, options.now);
+  state->SkipRevisions(options.skipped_revisions,
+                       restored.claims_refused_until);
   restored.revision = state->revision();
   restored.resources = state->fleet().resources().size();
   const raft::Ready ready =
--- a/source/common/control/store_restore.h
+++ b/source/common/control/store_restore.h
@@ -23,7 +23,7 @@
 
 // Returns the state after applying every entry of a backup, including entries
 // that were not committed yet: the group may have committed them later.
-Result<ControlState> StateOfBackup(const raft::InitialState& stored);
+Result<ControlState> BuildStateFromBackup(const raft::InitialState& stored);
 
 // Input of RestoreStore.
 struct RestoreOptions {
@@ -49,10 +49,10 @@
   // Requests of non-repeatable classes that expire by this time are refused as
   // expired: such a request may have run after the backup, and would run a
   // second time.
-  WallTime claims_from{};
+  WallTime claims_refused_until{};
 };
 
-// Creates the store with the state that StateOfBackup returns.
+// Creates the store with the state that BuildStateFromBackup returns.
 // @return kInvalidArgument with the option's name; kNotFound or kCorrupt for
 //   the backup; kConflict or kIo for the folder.
 Result<RestoredStore> RestoreStore(const RestoreOptions& options);
--- a/source/common/forwarding/request_run.cc
+++ b/source/common/forwarding/request_run.cc
@@ -71,7 +71,7 @@
 }
 
 void RequestRun::RestrictTo(const routes::HomeRegions& regions) {
-  home_regions_ = routes::HomeRegions::Both(home_regions_, regions);
+  home_regions_ = routes::HomeRegions::Intersection(home_regions_, regions);
 }
 
 std::size_t RequestRun::RequiredShards() const {
--- a/source/common/forwarding/split_chooser.cc
+++ b/source/common/forwarding/split_chooser.cc
@@ -6,7 +6,8 @@
 namespace juniperway::forwarding {
 
 const std::string& SplitChooser::Choose(const routes::Route& route) {
-  const auto& parts = std::get<routes::SplitTarget>(route.destination).parts;
+  const auto& parts =
+      std::get<routes::SplitTarget>(route.destination).weighted_services;
   if (parts.size() == 1) {
     return parts.front().service;
   }
--- a/source/common/routes/home_regions.h
+++ b/source/common/routes/home_regions.h
@@ -21,7 +21,8 @@
       : regions_(std::move(regions)), limited_(!regions_.empty()) {}
 
   // Returns the regions that both allow, which may be none at all.
-  static HomeRegions Both(const HomeRegions& left, const HomeRegions& right) {
+  static HomeRegions Intersection(const HomeRegions& left,
+                                  const HomeRegions& right) {
     if (!left.limited_ || !right.limited_) {
       return left.limited_ ? left : right;
     }
--- a/source/common/routes/route_table.cc
+++ b/source/common/routes/route_table.cc
@@ -141,7 +141,7 @@
       reader.Fail("split", weighted_reader.fault()->message);
     }
     total += weighted.weight;
-    target.parts.push_back(std::move(weighted));
+    target.weighted_services.push_back(std::move(weighted));
   }
   if (total <= 0) {
     reader.Fail("split", "must have weights that add up to more than 0");
@@ -243,7 +243,8 @@
     return scatter->shards;
   }
   std::vector<std::string> services;
-  for (const auto& part : std::get<SplitTarget>(route.destination).parts) {
+  for (const auto& part :
+       std::get<SplitTarget>(route.destination).weighted_services) {
     services.push_back(part.service);
   }
   return services;
--- a/source/common/routes/route_table.h
+++ b/source/common/routes/route_table.h
@@ -32,7 +32,7 @@
 // Sends each request to one backend of one of these services. A route to a
 // single service is a split with one element.
 struct SplitTarget {
-  std::vector<WeightedService> parts;
+  std::vector<WeightedService> weighted_services;
 
   bool operator==(const SplitTarget&) const = default;
 };
--- a/source/ctl/commands/backup.cc
+++ b/source/ctl/commands/backup.cc
@@ -47,7 +47,7 @@
   if (!stored) {
     return Fail(stored.error());
   }
-  const auto state = control::StateOfBackup(stored->state);
+  const auto state = control::BuildStateFromBackup(stored->state);
   if (!state) {
     return Fail(state.error());
   }
--- a/source/ctl/commands/restore.cc
+++ b/source/ctl/commands/restore.cc
@@ -60,7 +60,7 @@
         options->data_folder.string(), options->member.id, restored->cluster,
         restored->resources, restored->revision, restored->backup_revision);
   }
-  const Duration wait = restored->claims_from - options->now;
+  const Duration wait = restored->claims_refused_until - options->now;
   context.notes << fmt::format(
       "Requests of non-repeatable classes are refused as expired for the next "
       "{} s: which of them ran after the backup is not known.\n",
--- a/source/sim/control/control_machine.cc
+++ b/source/sim/control/control_machine.cc
@@ -95,7 +95,7 @@
   ports.on_queued = [this] {
     After(Duration(0), [this] { role_->FlushOperations(WallNow()); });
   };
-  ports.on_confirmed = [this] {
+  ports.on_watermark_change = [this] {
     After(kAdvanceDelay, [this] { role_->Advance(Now()); });
   };
   return ports;
--- a/test/property/control/control_world.cc
+++ b/test/property/control/control_world.cc
@@ -317,7 +317,7 @@
                       WallTime(now_.time_since_epoch()));
                 });
               },
-          .on_confirmed =
+          .on_watermark_change =
               [this, number] {
                 At(now_ + milliseconds(5), [this, number] {
                   if (!nodes_[number]->paused) {
--- a/test/property/rollout/rollout_world.cc
+++ b/test/property/rollout/rollout_world.cc
@@ -334,7 +334,7 @@
 
 rollout::RouterProgress RolloutWorld::ProgressOf(std::uint64_t revision) {
   lease_table_.Advance(revision, now_);
-  const control::RevisionParts parts = lease_table_.PartsOf(revision);
+  const control::RevisionShares parts = lease_table_.SharesOf(revision);
   return {.confirmed = options_.leases ? parts.confirmed : 1,
           .released = parts.released};
 }
--- a/test/unit/control/discovery_page_test.cc
+++ b/test/unit/control/discovery_page_test.cc
@@ -157,8 +157,10 @@
 TEST_CASE("an id that repeats on a later page is counted as a duplicate") {
   DiscoveryList list;
   EntryFaults faults;
-  AddPage(*ParseDiscoveryPage(PageOf(kValidEntry), kNow), list, faults);
-  AddPage(*ParseDiscoveryPage(PageOf(kValidEntry), kNow), list, faults);
+  MergeDiscoveryPage(*ParseDiscoveryPage(PageOf(kValidEntry), kNow), list,
+                     faults);
+  MergeDiscoveryPage(*ParseDiscoveryPage(PageOf(kValidEntry), kNow), list,
+                     faults);
   CHECK(list.size() == 1);
   CHECK(faults == EntryFaults{{EntryFault::kDuplicateId, 1}});
 }
@@ -189,7 +191,7 @@
     REQUIRE(page);
     REQUIRE(page->backends.contains("i-1"));
     CHECK(page->backends.at("i-1").start == WallTime{});
-    CHECK(page->faults == EntryFaults{{EntryFault::kUnusableStart, 1}});
+    CHECK(page->faults == EntryFaults{{EntryFault::kInvalidStartTime, 1}});
   }
   const auto page = ParseDiscoveryPage(PageOf(EntryWithStart("null")), kNow);
   REQUIRE(page);
@@ -199,10 +201,10 @@
 TEST_CASE("a known start time is kept and never decreases") {
   const WallTime unknown{};
   const WallTime earlier = kNow - seconds(9);
-  CHECK(ReconcileStart(unknown, kNow) == kNow);
-  CHECK(ReconcileStart(kNow, unknown) == kNow);
-  CHECK(ReconcileStart(kNow, earlier) == kNow);
-  CHECK(ReconcileStart(earlier, kNow) == kNow);
+  CHECK(CombineStartTimes(unknown, kNow) == kNow);
+  CHECK(CombineStartTimes(kNow, unknown) == kNow);
+  CHECK(CombineStartTimes(kNow, earlier) == kNow);
+  CHECK(CombineStartTimes(earlier, kNow) == kNow);
 }
 
 }  // namespace
--- a/test/unit/control/lease_table_test.cc
+++ b/test/unit/control/lease_table_test.cc
@@ -43,8 +43,8 @@
 
 TEST_CASE("a new leader assumes that no daemon has confirmed a revision") {
   Table table;
-  CHECK(table.leases.PartsOf(10).confirmed == 0);
-  CHECK(table.leases.PartsOf(10).released == 0);
+  CHECK(table.leases.SharesOf(10).confirmed == 0);
+  CHECK(table.leases.SharesOf(10).released == 0);
 }
 
 TEST_CASE("the shares count the daemons with a lease") {
@@ -52,12 +52,12 @@
   table.leases.OnHeartbeat(Heartbeat("a", 1, 11), table.now);
   table.leases.OnHeartbeat(Heartbeat("b", 1, 11), table.now);
   table.leases.OnHeartbeat(Heartbeat("c", 1, 10), table.now);
-  CHECK(table.leases.PartsOf(10).confirmed == 0.75);
-  CHECK(table.leases.PartsOf(11).confirmed == 0.5);
-  CHECK(table.leases.PartsOf(11).released == 0.5);
+  CHECK(table.leases.SharesOf(10).confirmed == 0.75);
+  CHECK(table.leases.SharesOf(11).confirmed == 0.5);
+  CHECK(table.leases.SharesOf(11).released == 0.5);
   table.leases.OnGoodbye({"c", 1});
   table.leases.OnGoodbye({"d", 1});
-  CHECK(table.leases.PartsOf(11).confirmed == 1);
+  CHECK(table.leases.SharesOf(11).confirmed == 1);
 }
 
 // Guards against rollouts that wait until the lease of an ended process
@@ -67,10 +67,10 @@
   for (const std::string name : {"a", "b", "c"}) {
     table.leases.OnHeartbeat(Heartbeat(name, 1, 11), table.now);
   }
-  CHECK(table.leases.PartsOf(11).confirmed < 1);
+  CHECK(table.leases.SharesOf(11).confirmed < 1);
   const session::Member restarted = MakeMember("d", 2);
   table.leases.SetMember("d", &restarted, table.now);
-  CHECK(table.leases.PartsOf(11).confirmed == 1);
+  CHECK(table.leases.SharesOf(11).confirmed == 1);
 }
 
 }  // namespace
--- a/test/unit/control/store_restore_test.cc
+++ b/test/unit/control/store_restore_test.cc
@@ -93,7 +93,7 @@
   CHECK(stored->snapshot.index == 22);
   CHECK(stored->snapshot.configuration ==
         raft::Configuration{{{kNewNode, "10.0.0.7:7100"}}, {}});
-  const auto state = StateOfBackup(*stored);
+  const auto state = BuildStateFromBackup(*stored);
   REQUIRE(state.has_value());
   CHECK(state->fleet().FindService("a") != nullptr);
   CHECK(state->fleet().FindService("b") != nullptr);
@@ -108,7 +108,7 @@
   const auto backup = storage::ReadBackupFile(fixture.folder.path() /
                                               "new/control/consensus.db");
   REQUIRE(backup.has_value());
-  auto state = StateOfBackup(backup->state);
+  auto state = BuildStateFromBackup(backup->state);
   REQUIRE(state.has_value());
   // A daemon that confirmed a lost revision gets a full update.
   CHECK(state->UpdateSince(3).from_revision == 0);
--- a/test/unit/forwarding/canary_test.cc
+++ b/test/unit/forwarding/canary_test.cc
@@ -36,7 +36,7 @@
     route.target = milliseconds(250);
     route.maximum_attempts = 2;
     routes::SplitTarget split;
-    split.parts.push_back({.service = "s", .weight = 1});
+    split.weighted_services.push_back({.service = "s", .weight = 1});
     route.destination = split;
     Update();
   }
--- a/test/unit/routes/route_table_test.cc
+++ b/test/unit/routes/route_table_test.cc
@@ -60,10 +60,10 @@
   const Route& pay = table->routes[1];
   CHECK_FALSE(pay.repeatable);
   CHECK(pay.target == pay.timeout);
-  CHECK(std::get<SplitTarget>(pay.destination).parts.size() == 2);
+  CHECK(std::get<SplitTarget>(pay.destination).weighted_services.size() == 2);
   const auto& plain = std::get<SplitTarget>(table->routes[2].destination);
-  REQUIRE(plain.parts.size() == 1);
-  CHECK(plain.parts[0].service == "two");
+  REQUIRE(plain.weighted_services.size() == 1);
+  CHECK(plain.weighted_services[0].service == "two");
   CHECK(table->services.at("one").maximum_connections == 40);
   CHECK(table->limits.maximum_body_bytes == 262144);
   CHECK(table->limits.idle_timeout == seconds(15));
--- a/test/unit/routes/tenant_index_test.cc
+++ b/test/unit/routes/tenant_index_test.cc
@@ -117,14 +117,14 @@
   const HomeRegions ab({"a", "b"});
   const HomeRegions bc({"b", "c"});
   const HomeRegions c({"c"});
-  CHECK(HomeRegions::Both(any, ab) == ab);
-  CHECK(HomeRegions::Both(ab, any) == ab);
-  const HomeRegions both = HomeRegions::Both(ab, bc);
+  CHECK(HomeRegions::Intersection(any, ab) == ab);
+  CHECK(HomeRegions::Intersection(ab, any) == ab);
+  const HomeRegions both = HomeRegions::Intersection(ab, bc);
   CHECK(both.Allows("b"));
   CHECK_FALSE(both.Allows("a"));
   CHECK_FALSE(both.Allows("c"));
   // Sets without a common region allow no region, instead of every region.
-  const HomeRegions none = HomeRegions::Both(ab, c);
+  const HomeRegions none = HomeRegions::Intersection(ab, c);
   CHECK(none.IsLimited());
   for (const char* region : {"", "a", "b", "c"}) {
     CHECK_FALSE(none.Allows(region));
