--- a/source/common/forwarding/backend_pool.h
+++ b/source/common/forwarding/backend_pool.h
@@ -190,7 +190,8 @@
 
   // Applies the newest view. Processes only the backends that differ from the
   // previous view: a fleet of 1000 routers has several views per second, each
-  // of 10,000 backends.
+  // of 10,000 backends. For services that limit requests to cold backends, each
+  // call recomputes the cold shares of all their backends.
   // @param routers number of routers that share the connections of the backends
   //   and the retry budget.
   void Update(const session::FleetView& view, std::size_t routers,
