--- a/source/common/routing/query_run.cc
+++ b/source/common/routing/query_run.cc
@@ -292,8 +292,9 @@
 }
 
 Duration QueryRun::RemainingTimeForOwner(MonotonicTime now) const {
-  const Duration remaining = request_.deadline - now;
-  return remaining - std::min(kHopMargin, remaining / kHopMarginDivisor);
+  const Duration remaining_time = request_.deadline - now;
+  return remaining_time -
+         std::min(kHopMargin, remaining_time / kHopMarginDivisor);
 }
 
 void QueryRun::ScheduleTimer(MonotonicTime time) {
--- a/source/common/routing/query_run.h
+++ b/source/common/routing/query_run.h
@@ -42,7 +42,7 @@
   // QueryRun sends nothing when less time than this remains.
   static constexpr Duration kMinimumUsefulTime = microseconds(500);
 
-  // @param front must outlive the run; its view must know the service.
+  // @param front must outlive the run; its view must contain the service.
   QueryRun(QueryRequest request, FrontState& front);
 
   // Sends the first subqueries. Called once.
