--- a/source/common/control/discovery_poller.h
+++ b/source/common/control/discovery_poller.h
@@ -21,7 +21,7 @@
  public:
   struct Options {
     std::string url;  // "http://10.0.0.9:9000/v1/backends"
-    // Between the starts of two polls of the whole list.
+    // Minimum interval between the starts of two polls of the whole list.
     Duration interval = seconds(1);
     // Rate limit of the platform, in calls per second. The poller uses at most
     // half of it and waits longer after a poll of many pages.
--- a/source/common/control/session_server.cc
+++ b/source/common/control/session_server.cc
@@ -32,6 +32,7 @@
 // announcements of up to 2.4 KB to each of a thousand daemons, 60 MB in total.
 constexpr Duration kAnnouncementDelay = milliseconds(200);
 
+// Whether a daemon may submit operations of this type through its session.
 bool IsDaemonOperation(protocol::Operation type) {
   return type == protocol::Operation::LeaveMember ||
          type == protocol::Operation::ClaimRequest ||
--- a/source/common/control/session_server.h
+++ b/source/common/control/session_server.h
@@ -37,7 +37,8 @@
   Duration interval;
 };
 
-// Owned by ControlNode. Runs on the thread of its io_context.
+// Owned by ControlNode. Runs on the thread of its io_context. Session numbers
+// are unique per object and start at 1.
 class SessionServer {
  public:
   struct Ports {
@@ -70,7 +71,9 @@
 
   // Passes the leader's replies to forwarded heartbeats on to the daemons.
   void OnReplies(const HeartbeatReplies& replies);
-  // Sends the leader's new watermarks to the daemons.
+  // Sends the leader's new watermarks to the daemons: `in_force` is the highest
+  // revision in force, `zones` holds, for each zone, the revision up to
+  // which its gateways have released backends.
   void OnProgress(resources::Revision in_force,
                   const std::map<std::string, resources::Revision>& zones);
   // Sends the observations of other daemons to every router.
