--- a/source/common/forwarding/router_metrics.cc
+++ b/source/common/forwarding/router_metrics.cc
@@ -96,49 +96,48 @@
       tenant_requests_(
           BuildCounter()
               .Name("juniperway_router_tenant_requests_total")
-              .Help("Requests of tenants with a limit, by decision")
+              .Help("Requests of tenants with a limit, by what was decided")
+              .Register(registry)),
+      canary_attempts_(
+          BuildCounter()
+              .Name("juniperway_router_canary_attempts_total")
+              .Help("Attempts at canaries of roll-outs, by how they ended")
               .Register(registry)),
-      canary_attempts_(BuildCounter()
-                           .Name("juniperway_router_canary_attempts_total")
-                           .Help("Attempts at canaries of rollouts, by result")
-                           .Register(registry)),
       seconds_(&BuildHistogram()
                     .Name("juniperway_router_request_seconds")
-                    .Help("Time from the complete request to the answer")
+                    .Help("Time from the whole request to the answer")
                     .Register(registry)
                     .Add({}, kLatencyBuckets)),
       hedges_(PlainCounter(registry, "juniperway_router_hedges_total",
-                           "Attempts sent while an earlier one still ran")),
+                           "Attempts sent beside one that took too long")),
       missing_(PlainCounter(registry, "juniperway_router_missing_shards_total",
-                            "Shards missing from answers")),
-      throttled_(
-          PlainCounter(registry, "juniperway_router_throttled_total",
-                       "Requests refused because backends are overloaded")),
+                            "Shards left out of answers")),
+      throttled_(PlainCounter(registry, "juniperway_router_throttled_total",
+                              "Requests refused as back ends are overloaded")),
       running_(PlainGauge(registry, "juniperway_router_requests_running",
                           "Requests in flight")),
       backends_(PlainGauge(registry, "juniperway_router_backends",
-                           "Backends that may get requests")),
+                           "Back ends that may get requests")),
       routers_(PlainGauge(registry, "juniperway_router_routers",
-                          "Routers that share connections and retry budgets")),
+                          "Routers that share connections and budgets")),
       shared_failures_(
           PlainGauge(registry, "juniperway_router_shared_failures",
-                     "Backends with recent failures at other routers")),
+                     "Back ends that other routers had failures at")),
       evacuated_zones_(PlainGauge(registry, "juniperway_router_evacuated_zones",
-                                  "Zones whose backends get no new requests")),
+                                  "Zones whose back ends get no new work")),
       quarantine_refusals_(
           PlainCounter(registry, "juniperway_router_quarantine_refusals_total",
-                       "Requests refused because they crash backends")),
-      quarantined_requests_(PlainGauge(
-          registry, "juniperway_router_quarantined_requests",
-          "Requests that are quarantined because they crash backends")),
+                       "Requests refused as back ends end under them")),
+      quarantined_requests_(
+          PlainGauge(registry, "juniperway_router_quarantined_requests",
+                     "Requests that are refused as back ends end under them")),
       revision_(PlainGauge(registry, "juniperway_router_view_revision",
-                           "Revision of the fleet view that the router uses")),
-      table_version_(
-          PlainGauge(registry, "juniperway_router_table_version",
-                     "Version of the route table that the router uses")) {
+                           "Revision in use here")),
+      table_version_(PlainGauge(registry, "juniperway_router_table_version",
+                                "Version of the route table in use here")) {
   auto& requests = BuildCounter()
                        .Name("juniperway_router_requests_total")
-                       .Help("Routed requests, by result")
+                       .Help("Routed requests, by how they ended")
                        .Register(registry);
   for (std::size_t i = 0; i < requests_.size(); ++i) {
     requests_.at(i) =
@@ -146,7 +145,7 @@
   }
   auto& attempts = BuildCounter()
                        .Name("juniperway_router_attempts_total")
-                       .Help("Attempts at backends, by result")
+                       .Help("Attempts at back ends, by how they ended")
                        .Register(registry);
   for (std::size_t i = 0; i < attempts_.size(); ++i) {
     attempts_.at(i) =
