--- a/source/common/forwarding/adaptive_throttle.h
+++ b/source/common/forwarding/adaptive_throttle.h
@@ -56,7 +56,8 @@
   double admitted_share() const { return share_; }
 
  private:
-  // Applies decay and growth up to now.
+  // Decays the counts and raises the admitted share for the time that has
+  // passed until `now`.
   void Advance(MonotonicTime now);
 
   std::mt19937_64 random_;
--- a/source/common/forwarding/backend_pool.cc
+++ b/source/common/forwarding/backend_pool.cc
@@ -6,9 +6,10 @@
 namespace juniperway::forwarding {
 namespace {
 
-// How much longer a backend of the same zone may take before the pool prefers
-// one elsewhere. More than the round trips take (2 to 3 ms within a region, 24
-// ms to another one), because traffic between zones and regions costs money.
+// How much longer a backend of this router's zone may take before the pool
+// prefers one in another zone of the region, or one in another region. Each
+// penalty exceeds the round trip time (2 to 3 ms within a region, 24 ms to
+// another region), because traffic between zones and regions costs money.
 constexpr Duration kSameRegionPenalty = milliseconds(10);
 constexpr Duration kOtherRegionPenalty = milliseconds(60);
 // Share of the connections of a backend that the routers use together. The rest
@@ -27,7 +28,8 @@
 constexpr Duration kInitialRefusalBackoff = milliseconds(30);
 constexpr Duration kMaximumRefusalBackoff = seconds(1);
 // After this many consecutive failures a backend counts as down rather than
-// busy. Refused connections have then blocked it for 0.45 s.
+// busy. If the failures are refused connections, the backoffs that the pool has
+// set by then add up to 0.45 s.
 constexpr std::uint32_t kDownAfterFailures = 4;
 // An attempt that is in flight for longer than both this time and this many
 // medians does not show when its backend can take another one.
@@ -51,10 +53,11 @@
 // 985 routers.
 constexpr Duration kNewConnectionCost = milliseconds(7);
 
-// From this many recent attempts at a backend a router uses only its own
-// observations. Other routers may reach the backend over another network path,
-// and where all routers send to each backend often, all would move to the same
-// backends at once.
+// A router that has made at least this many recent (decayed) attempts at a
+// backend uses only its own observations, for two reasons. Other routers may
+// reach the backend over another network path. And if routers that all send to
+// each backend often used the reported failures, all of them would move to the
+// same backends at once.
 constexpr double kMinimumOwnAttempts = 1.5;
 // Upper bound of the reported share of failures. At this bound a backend costs
 // four failed attempts more, but stays usable.
@@ -236,7 +239,8 @@
     const Duration latency = ExpectedLatency(*backend, now) +
                              FailureCost(*backend, failed_attempt, now);
     const bool tie = best != nullptr && latency == best_latency;
-    // Each of the backends with equal cost has the same chance.
+    // Backends with equal expected latency, including the failure cost, are
+    // chosen with equal probability.
     if (best == nullptr || latency < best_latency ||
         (tie && random_() % ++ties == 0)) {
       ties = tie ? ties : 1;
--- a/source/common/forwarding/backend_pool.h
+++ b/source/common/forwarding/backend_pool.h
@@ -82,8 +82,8 @@
   std::map<std::string, std::string> regions;
   // Limits of the extra attempts, the same for each service.
   ExtraAttemptLimits extra;
-  // Whether this router reports its failures to other routers and uses the
-  // failures that they report.
+  // Whether this router reports the backend failures that it observes to other
+  // routers, and uses the failures that they report.
   bool shares_observations = true;
   // Seed of the random choices.
   std::uint64_t seed = 1;
@@ -122,7 +122,7 @@
     double cold_requests_per_second = 0;
     // Typical latency of all its backends, without their locality_penalty.
     TypicalLatency typical_latency;
-    // Whether a backend of the service has named the request that it answered.
+    // Whether a backend of the service has echoed the request id in an answer.
     bool names_requests = false;
     // Bounds the hedges and retries of this router.
     ExtraAttemptBudget budget;
@@ -174,7 +174,7 @@
     // evacuated zone. The pool then keeps it only for its attempts in flight;
     // otherwise it is in the backends of its service.
     bool retired = true;
-    // Whether its zone is evacuated.
+    // Whether the latest applied view evacuates the zone of the backend.
     bool evacuated = false;
     // Before this time the backend counts as cold. Set when the evacuation of
     // its zone ends or its process starts again: the discovery list may not
@@ -235,8 +235,8 @@
   // Number of backends with recent failures that other routers reported.
   std::size_t shared_failures() const { return shared_failures_.size(); }
 
-  // Records that a backend of the service has named the request that it
-  // answered.
+  // Records that a backend of the service has echoed the request id in an
+  // answer.
   void OnNamedRequest(const std::string& service);
 
   // Budget of a service for hedges and retries. OnFirstRequest counts a request
--- a/source/common/forwarding/cold_allowance.cc
+++ b/source/common/forwarding/cold_allowance.cc
@@ -8,9 +8,9 @@
 namespace juniperway::forwarding {
 namespace {
 
-// The window is longer than the second that the rate refers to: two requests
-// that are sent a second apart arrive closer together when the first is
-// delayed.
+// The window is longer than one second, although the rate is per second: if the
+// first of two requests sent a second apart is delayed, both can reach the
+// backend within one second.
 constexpr double kWindowSeconds = 1.1;
 
 }  // namespace
--- a/source/common/forwarding/connection_allowance.h
+++ b/source/common/forwarding/connection_allowance.h
@@ -13,7 +13,7 @@
 // Number of connections that one router may use at one backend.
 class ConnectionAllowance {
  public:
-  // @param ceiling share of this router in the connections of the backend.
+  // @param ceiling this router's share of the backend's connections.
   // @return number of connections that may be in use, at least 1.
   std::size_t Get(std::size_t ceiling) const;
 
--- a/source/common/forwarding/crash_reporter.cc
+++ b/source/common/forwarding/crash_reporter.cc
@@ -11,8 +11,9 @@
 
 using logging::LogEvent;
 
-// Ten round trips between regions (24 ms). An address without a listener
-// refuses at once; an unresponsive address shows nothing.
+// Ten round trips between regions (24 ms). A host without a listener at the
+// address refuses the connection at once. An unresponsive host does not answer,
+// which proves nothing.
 constexpr Duration kCheckTimeout = milliseconds(250);
 // Interval over which kMaximumReportsPerSecond is counted.
 constexpr Duration kReportInterval = seconds(1);
--- a/source/common/forwarding/extra_attempt_budget.cc
+++ b/source/common/forwarding/extra_attempt_budget.cc
@@ -14,8 +14,9 @@
 
 void ExtraAttemptBudget::AdvanceTo(const ExtraAttemptLimits& limits,
                                    MonotonicTime now) {
-  // The slices span two slices more than the window, because the current slice
-  // is incomplete.
+  // A slice lasts a twentieth of the window. The current slice is incomplete,
+  // so only the other 21 slices count in full. They span 1.05 windows and thus
+  // always cover a whole window.
   const Duration width = limits.window / static_cast<int>(kSlices - 2);
   const std::int64_t slice = now.time_since_epoch() / width;
   const std::int64_t passed = std::min<std::int64_t>(slice - current_, kSlices);
--- a/source/common/forwarding/message_codec.h
+++ b/source/common/forwarding/message_codec.h
@@ -78,8 +78,8 @@
 // @param retry_after when the client should send the request again.
 net::HttpResponse MakeRefusal(Duration retry_after, const std::string& message);
 
-// Makes the answer that refuses a request beyond its tenant's limit, which did
-// not run.
+// Makes the answer that refuses a request because its tenant has exceeded its
+// limit. The request did not run.
 // @param retry_after when the client should send the request again.
 net::HttpResponse MakeLimitRefusal(Duration retry_after);
 
--- a/source/common/forwarding/recent_latency.h
+++ b/source/common/forwarding/recent_latency.h
@@ -1,8 +1,9 @@
 // RecentLatency is the median of the latest latencies of a backend. BackendPool
-// owns one for each backend. With the median a single pause does not make a
-// backend count as slow, and a slow backend shows after a few answers: after
-// three of five where answers are frequent, and after two of three where they
-// are rare, because three would take seconds. Callers pass the current time.
+// owns one for each backend. With the median, a single pause does not make a
+// backend count as slow. A slow backend is recognized after three slow answers
+// of the latest five if answers are frequent, and after two of the latest three
+// if they are rare: a third rare answer could take seconds to arrive. Callers
+// pass the current time.
 #pragma once
 
 #include <array>
--- a/source/common/forwarding/request_run.cc
+++ b/source/common/forwarding/request_run.cc
@@ -229,8 +229,8 @@
 
 void RequestRun::RecordCrashEvidence(const Attempt& attempt,
                                      const AttemptEnd& end) {
-  // An error answer does not count: a backend may send it before it runs the
-  // request.
+  // An error answer is no evidence that the backend survived the request: the
+  // backend may send it before it runs the request.
   crash_evidence_.survived |= end.result == AttemptResult::kAnswered;
   if (end.connection_lost) {
     crash_evidence_.lost.push_back({attempt.incarnation, attempt.address});
--- a/source/common/forwarding/request_run.h
+++ b/source/common/forwarding/request_run.h
@@ -244,15 +244,16 @@
     std::vector<std::string> tried;
     // Attempts that ran or may have run, including those in flight.
     std::uint32_t runs = 0;
-    // Some attempt reached a backend, or may have: each later one takes from
-    // the retry budget.
+    // Whether an attempt reached a backend or may have reached one. Each later
+    // attempt then takes from the retry budget.
     bool may_have_arrived = false;
     MonotonicTime next_hedge = MonotonicTime::max();
-    // No attempt is in flight, and every backend that may get one is busy.
+    // This shard has no attempt in flight, and every backend that may get one
+    // is busy.
     bool waits_for_backend = false;
-    // No attempt is in flight, and the run sends none before the attempts in
-    // flight at other shards or the trial attempt have shown whether backends
-    // survive the request.
+    // This shard has no attempt in flight, and the run sends none for it until
+    // the attempts in flight for other shards, or the trial attempt, have shown
+    // whether backends survive the request.
     bool awaits_evidence = false;
     bool answered = false;
     bool failed = false;
@@ -275,11 +276,12 @@
   // For a shard whose attempt could not be sent: waits if a backend may become
   // free in time, and otherwise marks the shard as failed.
   void WaitOrFail(Shard& shard, MonotonicTime now);
-  // The request may crash backends: several were lost under it, in this run or
-  // before, and none has survived it.
+  // Whether the request may crash backends: several were lost while they ran
+  // it, in this run or before, and none has survived it.
   bool IsSuspected() const;
-  // A backend was lost, and attempts in flight will show whether the request
-  // crashes backends.
+  // Whether the run must wait before it sends further attempts: a backend was
+  // lost, and attempts in flight will show whether the request crashes
+  // backends.
   bool MustAwaitAnswer() const;
   bool HasAttemptInFlight() const;
   void AwaitEvidence(Shard& shard);
--- a/source/common/forwarding/router_server.cc
+++ b/source/common/forwarding/router_server.cc
@@ -571,8 +571,8 @@
     });
   }
 
-  // Logs services whose canaries now get only the base share, and services
-  // where that has ended.
+  // Logs which services' canaries have been reduced to the base share, and
+  // which have been given a larger share again.
   void LogShareChanges() {
     const MonotonicTime now = ReadMonotonicClock();
     std::set<std::string> lapsed;
--- a/source/common/forwarding/split_chooser.h
+++ b/source/common/forwarding/split_chooser.h
@@ -23,7 +23,7 @@
   // the weights resets the counts.
   struct State {
     std::vector<routes::WeightedService> parts;
-    // For each service, the number of requests that it is below its share.
+    // For each service, by how many requests its count is below its share.
     std::vector<double> deficits;
   };
 
--- a/source/common/forwarding/tenant_admission.h
+++ b/source/common/forwarding/tenant_admission.h
@@ -33,9 +33,10 @@
 // Admits or refuses requests of rate-limited tenants.
 class TenantAdmission {
  public:
-  // How long a request waits for a grant: eight round trips between regions
-  // (24 ms). It is shorter than a leader election (about a second), so that a
-  // refused client has time to send the request again.
+  // How long a request waits for a grant: eight round trips between regions (24
+  // ms). It is shorter than a leader election (about a second): the router
+  // refuses a request during an election while its client still has time to
+  // send it again.
   static constexpr Duration kGrantTimeout = milliseconds(200);
   // Retry-After of a kUndecided refusal: half of the time that a leader
   // election takes.
@@ -45,8 +46,8 @@
   using Callback =
       std::function<void(LimitDecision decision, Duration retry_after)>;
 
-  // @param request_report called when MakeReport() should be sent to the
-  //   control group soon.
+  // @param request_report called when the result of MakeReport() should be sent
+  //   to the control group soon.
   TenantAdmission(asio::io_context& context,
                   std::function<void()> request_report);
 
--- a/test/integration/forwarding/explain_test.cc
+++ b/test/integration/forwarding/explain_test.cc
@@ -32,8 +32,8 @@
   "services": [{"name": "s1", "maximum_connections": 100},
                {"name": "s2", "maximum_connections": 100}]})";
 
-// Runs the command.
-// @return its output.
+// Runs `juniperwayctl explain`.
+// @return the output of the command.
 std::string RunExplain(const std::string& request_id,
                        const std::vector<std::string>& files) {
   std::vector<const char*> words = {"juniperwayctl", "explain",
--- a/test/integration/forwarding/route_fleet.h
+++ b/test/integration/forwarding/route_fleet.h
@@ -87,9 +87,11 @@
   std::vector<std::pair<std::string, std::string>> latest_fields_;
   std::vector<std::pair<net::HttpRequest, std::shared_ptr<net::HttpResponder>>>
       withheld_;
-  // Targets that crash the backend; empty for none.
+  // Requests whose target has this prefix crash the backend. Empty if none
+  // does.
   std::string fatal_prefix_;
-  // Targets that fail whatever `answering_` is; empty for none.
+  // Requests whose target has this prefix fail whatever `answering_` is. Empty
+  // if none does.
   std::string failing_prefix_;
   std::atomic<bool> crashed_ = false;
   asio::steady_timer crash_timer_;
--- a/test/integration/forwarding/router_test.cc
+++ b/test/integration/forwarding/router_test.cc
@@ -52,7 +52,8 @@
   one.SetAnswering(Answering::kWithoutId);
   two.SetAnswering(Answering::kWithoutId);
   REQUIRE(fleet.PutTable(Table(5)) == 200);
-  // The router accepts such answers of services that never echo a request id.
+  // The router accepts answers without a request id from services that have
+  // never echoed one.
   REQUIRE(fleet.AwaitStatus("/one/x", 200));
   REQUIRE(fleet.AwaitStatus("/all/x", 200));
 
--- a/test/unit/forwarding/backend_pool_test.cc
+++ b/test/unit/forwarding/backend_pool_test.cc
@@ -214,7 +214,8 @@
     pool.Run("1", milliseconds(1), result);
     CHECK(pool.Choose({"2", "3"}) == "");
     CHECK(pool.AvailabilityNow({"2", "3"}) == Availability::kBusy);
-    // The backoff is much shorter than an ejection after another failure.
+    // The backoff lasts less than 40 ms. An ejection, which other kinds of
+    // failures cause, would last longer.
     pool.now += milliseconds(40);
     CHECK(pool.Choose({"2", "3"}) == "1");
     for (int i = 0; i < 4; ++i) {
--- a/test/unit/forwarding/canary_test.cc
+++ b/test/unit/forwarding/canary_test.cc
@@ -46,7 +46,7 @@
   // Runs requests one after the other. Canaries answer with `canary_result`,
   // other backends answer successfully. Checks that only first attempts go to
   // canaries.
-  // @return how many first attempts went to the canary.
+  // @return how many first attempts went to canaries.
   int RunRequests(int requests,
                   AttemptResult canary_result = AttemptResult::kAnswered) {
     int canaries = 0;
--- a/test/unit/forwarding/crashing_run_test.cc
+++ b/test/unit/forwarding/crashing_run_test.cc
@@ -34,7 +34,7 @@
   for (int shard = 0; shard < 3; ++shard) {
     world.Lose(world.AttemptAt(ShardName(shard)));
   }
-  // Time passes until shortly before the target.
+  // Time passes until shortly before the end of the route's target latency.
   for (int times = 0; times < 4; ++times) {
     world.Wait();
   }
--- a/test/unit/forwarding/shared_observations_test.cc
+++ b/test/unit/forwarding/shared_observations_test.cc
@@ -1,6 +1,6 @@
-// Measures the answered shards in a large fleet whose routers report failures
-// to each other. There are many routers, and each sends to one backend once in
-// minutes.
+// Measures the share of shards that are answered in a large fleet whose routers
+// report failures to each other. There are so many routers and backends that a
+// given router sends to a given backend only once every few minutes.
 #include <doctest/doctest.h>
 
 #include <memory>
