--- a/source/common/forwarding/adaptive_throttle.h
+++ b/source/common/forwarding/adaptive_throttle.h
@@ -6,9 +6,9 @@
 // The admitted share of requests grows steadily and falls with each request
 // that backends shed (additive increase, multiplicative decrease). The decrease
 // is divided by the number of requests that ended recently: at 200 requests per
-// second each one has little effect. A router with two requests per second has
-// less information and admits more: 0.85 of what is offered where the capacity
-// is 0.4.
+// second, each shed request has little effect. A router with two requests per
+// second has less information and admits more: 0.85 of the offered requests
+// when the backends have capacity for 0.4 of them.
 //
 // Call Admit for each request, then OnEnded for each admitted one.
 #pragma once
@@ -23,9 +23,9 @@
 // Admits a share of the requests of one route.
 class AdaptiveThrottle {
  public:
-  // Growth of the admitted share per second: from 0 to 1 in two seconds. At
-  // 0.25 (and a decrease factor of 4) routers with 200 requests per second used
-  // half of the capacity.
+  // Growth of the admitted share per second: from 0 to 1 in two seconds. With
+  // 0.25 and a decrease factor of 4, routers with 200 requests per second use
+  // only half of the capacity.
   static constexpr double kGrowthPerSecond = 0.5;
   // Each shed request lowers the admitted share by this factor, divided by the
   // number of requests that ended recently, and by half at most. While all
@@ -33,14 +33,14 @@
   // kGrowthPerSecond / kDecreaseFactor of them are shed.
   static constexpr double kDecreaseFactor = 3;
   static constexpr double kMaximumDecrease = 0.5;
-  // Some requests are always admitted, to detect that the backends have
+  // The throttle always admits some requests, to detect when the backends have
   // capacity again.
   static constexpr double kMinimumShare = 0.05;
   // Time constant of the exponential decay of the counts.
   static constexpr Duration kDecayTime = seconds(1);
   // Minimum decayed number of shed requests before the share falls. A single
-  // shed request may have met a backend that was full for a moment. Two that
-  // are 1.4 s apart stay below the minimum.
+  // shed request may have met a backend that was full for a moment. Two shed
+  // requests that are 1.4 s apart stay below the minimum.
   static constexpr double kMinimumShedRequests = 1.25;
 
   explicit AdaptiveThrottle(std::uint64_t seed) : random_(seed) {}
@@ -48,11 +48,11 @@
   // @return false when the caller should refuse the request.
   bool Admit(MonotonicTime now);
   // Records the end of an admitted request.
-  // @param shed the request failed or was late, and backends had shed attempts
-  //   of it.
+  // @param shed whether the request failed or was late after backends had shed
+  //   attempts of it.
   void OnEnded(bool shed, MonotonicTime now);
 
-  // Share of requests that is admitted at present, 0 to 1.
+  // Returns the share of requests that the throttle currently admits, 0 to 1.
   double admitted_share() const { return share_; }
 
  private:
@@ -62,8 +62,8 @@
 
   std::mt19937_64 random_;
   MonotonicTime advanced_to_{};
-  // Decayed numbers of admitted requests that ended, and of those that backends
-  // shed.
+  // Decayed numbers of the admitted requests that ended, and of those among
+  // them that backends shed.
   double ended_ = 0;
   double shed_ = 0;
   double share_ = 1;
--- a/source/common/forwarding/admission_queue.h
+++ b/source/common/forwarding/admission_queue.h
@@ -28,8 +28,8 @@
 
   struct Entry {
     RequestNumber number = 0;
-    // Name of the route. Requests of one route need the same services: when one
-    // cannot be admitted, the others of its route cannot either.
+    // Name of the route. Requests of one route need the same services: if one
+    // of them cannot be admitted, the others cannot either.
     std::string route;
     // Priority of the tenant or the route; 0 is the most urgent.
     std::uint32_t priority = 0;
--- a/source/common/forwarding/backend_pool.cc
+++ b/source/common/forwarding/backend_pool.cc
@@ -12,37 +12,41 @@
 // another region), because traffic between zones and regions costs money.
 constexpr Duration kSameRegionPenalty = milliseconds(10);
 constexpr Duration kOtherRegionPenalty = milliseconds(60);
-// Share of the connections of a backend that the routers use together. The rest
-// covers connections that are closing and routers that are not known yet.
+// Share of the connections of a backend that all routers together use. The
+// remaining connections cover connections that are closing and routers that are
+// not known yet.
 constexpr double kConnectionShare = 0.9;
 
-// Ejection after a failure, doubled after each further one.
+// Duration of the ejection after a failure. It doubles with each consecutive
+// failure.
 constexpr Duration kInitialEjection = milliseconds(300);
 constexpr Duration kMaximumEjection = seconds(3);
-// Backoff after a shed request, doubled after each further one.
+// Backoff after a shed request. It doubles with each consecutive failure.
 constexpr Duration kInitialShedBackoff = milliseconds(50);
 constexpr Duration kMaximumShedBackoff = milliseconds(500);
-// Backoff after a refused or reset connection, doubled after each further one.
-// Most often the backend has reached its maximum of connections, and another
-// client soon closes one (docs/DECIDING.md).
+// Backoff after a refused or reset connection. It doubles with each consecutive
+// failure. Most often the backend has reached its maximum of connections, and
+// another client soon closes one (docs/DECIDING.md).
 constexpr Duration kInitialRefusalBackoff = milliseconds(30);
 constexpr Duration kMaximumRefusalBackoff = seconds(1);
 // After this many consecutive failures a backend counts as down rather than
 // busy. If the failures are refused connections, the backoffs that the pool has
 // set by then add up to 0.45 s.
 constexpr std::uint32_t kDownAfterFailures = 4;
-// An attempt that is in flight for longer than both this time and this many
-// medians does not show when its backend can take another one.
+// A backend with an attempt in flight for longer than both this time and this
+// many median latencies does not count as busy: the pool cannot expect it to
+// take another attempt soon.
 constexpr Duration kUnresponsiveAfter = milliseconds(300);
 constexpr int kUnresponsiveAfterMedians = 3;
-// Backoff of a backend whose address belongs to another one, until the
-// discovery list shows the change.
+// Backoff of a backend whose address belongs to another backend. By its end the
+// discovery list should show the change.
 constexpr Duration kMisplacedBackoff = seconds(5);
 constexpr std::uint32_t kMaximumDoublings = 10;
 // Added cost of an attempt that brings no answer. While the retry budget of the
-// service lasts, another attempt follows and only its time is lost (30 ms is
-// about a round trip to another region); without budget the whole request is
-// most often lost. The cost grows between the two as the budget is spent.
+// service lasts, another attempt follows, and only the time of the first one is
+// lost (30 ms is about a round trip to another region). Without budget the
+// whole request most often fails. The cost grows between the two as the budget
+// is spent.
 constexpr Duration kRetryCost = milliseconds(30);
 constexpr Duration kLostRequestCost = seconds(1);
 
@@ -59,8 +63,9 @@
 // each backend often used the reported failures, all of them would move to the
 // same backends at once.
 constexpr double kMinimumOwnAttempts = 1.5;
-// Upper bound of the reported share of failures. At this bound a backend costs
-// four failed attempts more, but stays usable.
+// Upper bound of the reported share of failures. At this bound the pool adds
+// the cost of four failed attempts to the expected latency of the backend,
+// which stays usable.
 constexpr double kMaximumReportedShare = 0.8;
 
 }  // namespace
@@ -117,8 +122,8 @@
       !backend.cold_allowance.MaySend(backend.cold_share, now)) {
     return false;
   }
-  // After failures one attempt at a time tests whether the backend has
-  // recovered.
+  // After failures, the pool allows one attempt at a time, which tests whether
+  // the backend has recovered.
   return backend.failures == 0 || backend.in_flight.empty();
 }
 
@@ -335,7 +340,7 @@
       backend.idle_connections.OnAnswered(now);
       break;
     case AttemptResult::kCancelled:
-      // The answer would have taken longer than this.
+      // The latency of the answer would have been longer than `elapsed`.
       if (elapsed > MedianLatency(backend, now)) {
         backend.latency.Record(elapsed, sent, now);
       }
@@ -385,7 +390,8 @@
     case AttemptResult::kReset:
     case AttemptResult::kCancelled:
       // These outcomes concern the discovery list or the connections of this
-      // router, or show nothing about the backend.
+      // router, or say nothing about the backend, so other routers do not need
+      // them.
       break;
   }
 }
@@ -420,7 +426,7 @@
       break;
     case AttemptResult::kAnswered:
     case AttemptResult::kCancelled:
-      // An abandoned attempt would have taken longer than this.
+      // An abandoned attempt would have taken longer than `outcome.elapsed`.
       observation.latency = outcome.elapsed;
       observation.timed =
           !backend.info.cold && backend.locality_penalty < kOtherRegionPenalty;
--- a/source/common/forwarding/backend_pool.h
+++ b/source/common/forwarding/backend_pool.h
@@ -5,7 +5,7 @@
 //
 // The pool ranks backends by what this router observes: the latency of their
 // answers, how long their oldest attempt has been in flight, and how their
-// latest attempts ended. Where this router has few recent attempts at a
+// latest attempts ended. If this router has made few recent attempts at a
 // backend, the pool uses the failures that other routers report.
 #pragma once
 
@@ -58,7 +58,7 @@
 // Which backends an attempt may use.
 struct BackendCriteria {
   const std::string& service;
-  // Home regions of the route. Backends of other regions must not get the
+  // Home regions of the route. Backends in other regions must not get the
   // request.
   const routes::HomeRegions& home_regions;
   // Ids of the backends that the request was already sent to.
@@ -95,14 +95,16 @@
 // Chooses backends for the attempts of one router. Not thread-safe.
 class BackendPool {
  public:
-  // Assumed latency of a service none of whose backends has answered yet.
+  // Latency that the pool assumes for a service while none of its backends has
+  // answered.
   static constexpr Duration kInitialLatency = milliseconds(20);
   // How long a router keeps an unused connection open. Each backend bounds its
-  // connections from all clients together, so an idle connection takes the
-  // place of another one; a new connection costs a round trip and time of the
-  // backend and the router. With 1000 routers each router gets a scatter
-  // request every 17 s on average; 3 % of the intervals between two are longer
-  // than this timeout, and 31 % are longer than 20 s.
+  // connections from all clients together, so an idle connection of one client
+  // may keep another client from opening a connection. A new connection costs a
+  // round trip and processing time at the backend and the router. With 1000
+  // routers each router gets a scatter request every 17 s on average; 3 % of
+  // the intervals between two are longer than this timeout, and 31 % are longer
+  // than 20 s.
   static constexpr seconds kIdleConnectionTimeout{60};
 
   struct Backend;
@@ -120,11 +122,12 @@
     // See routes::RoutedService for the two warm-up settings.
     Duration warmup{};
     double cold_requests_per_second = 0;
-    // Typical latency of all its backends, without their locality_penalty.
+    // Typical latency of all backends of the service, without their
+    // locality_penalty.
     TypicalLatency typical_latency;
     // Whether a backend of the service has echoed the request id in an answer.
     bool names_requests = false;
-    // Bounds the hedges and retries of this router.
+    // Bounds the hedges and retries that this router sends to the service.
     ExtraAttemptBudget budget;
     // Number of the current rollout. 0 when the service has none.
     rollout::RolloutNumber rollout = 0;
@@ -146,10 +149,10 @@
     observation::BackendHash hash = 0;
     // The service of the backend. The pool owns it.
     Service* service = nullptr;
-    // Added to the expected latency because the backend is in another zone or
-    // region.
+    // The pool adds this to the expected latency of a backend in another zone
+    // or region.
     Duration locality_penalty{};
-    // Recent latency, without locality_penalty.
+    // Recent latencies of the backend, without locality_penalty.
     RecentLatency latency;
     // Failure rate of the recent attempts of this router.
     FailureRate failure_rate;
@@ -168,20 +171,20 @@
     // The backend gets no attempt before this time because it shed a request,
     // refused a connection, or its address belongs to another backend.
     MonotonicTime backoff_until = MonotonicTime::min();
-    // Region of its zone. Empty when the region is not known.
+    // Region of the backend's zone. Empty when the region is not known.
     std::string region;
     // True when the backend has left the discovery list, drains or is in an
-    // evacuated zone. The pool then keeps it only for its attempts in flight;
-    // otherwise it is in the backends of its service.
+    // evacuated zone. The pool then keeps the backend only for its attempts in
+    // flight. A backend that is not retired is in Service::backends.
     bool retired = true;
     // Whether the latest applied view evacuates the zone of the backend.
     bool evacuated = false;
-    // Before this time the backend counts as cold. Set when the evacuation of
-    // its zone ends or its process starts again: the discovery list may not
-    // show yet that it is cold.
+    // Before this time the backend counts as cold. The pool sets this when the
+    // evacuation of the zone ends or the process of the backend starts again,
+    // because the discovery list may not show yet that the backend is cold.
     MonotonicTime assumed_cold_until = MonotonicTime::min();
-    // Share of this router in the requests that the backend accepts while it is
-    // cold, and the count of the requests sent to it.
+    // This router's share of the requests that the backend accepts while it is
+    // cold, and the count of the requests that this router sent to it.
     ColdShare cold_share;
     ColdAllowance cold_allowance;
   };
@@ -200,24 +203,26 @@
   // @return the backend to use, or null when none may be used now.
   const Backend* Choose(const BackendCriteria& criteria, MonotonicTime now);
 
-  // Whether Choose would return a backend now, or is expected to soon.
+  // Returns whether Choose would find a backend now, or is expected to find one
+  // soon.
   Availability AvailabilityOf(const BackendCriteria& criteria,
                               MonotonicTime now) const;
 
-  // Record that an attempt was sent to a backend, and how it ended. Unknown
-  // backends and attempts are ignored.
+  // Records that an attempt was sent to a backend (OnSent), and how it ended
+  // (OnEnded). Both ignore unknown backends and attempts.
   void OnSent(const std::string& id, AttemptId attempt, MonotonicTime now);
   void OnEnded(const std::string& id, AttemptId attempt, AttemptResult result,
                MonotonicTime now);
 
-  // Number of attempts in flight at backends that get no new requests.
+  // Returns the number of attempts in flight at backends that get no new
+  // requests.
   std::size_t retired_in_flight() const { return retired_in_flight_; }
 
   // Counts the outcome of an attempt for the rollout of its service, if there
   // is one.
   void CountForRollout(const std::string& route, const std::string& id,
                        const AttemptOutcome& outcome);
-  // Outcomes that CountForRollout has counted.
+  // Returns the outcomes that CountForRollout has counted.
   rollout::AnswerTally& answer_tally() { return answer_tally_; }
   // Whether the canaries of the service get only the base share because no
   // leader has renewed the share of the rollout.
@@ -227,39 +232,42 @@
   void OnSharesRenewed(const std::vector<rollout::RolloutNumber>& rollouts,
                        MonotonicTime until);
 
-  // Observations that this router has not yet reported to the other routers.
+  // Returns the observations that this router has not yet reported to the other
+  // routers.
   observation::ObservationLog& observation_log() { return observation_log_; }
   // Adds observations of other routers.
   void OnObservations(const observation::BackendObservations& observations,
                       MonotonicTime now);
-  // Number of backends with recent failures that other routers reported.
+  // Returns the number of backends with recent failures that other routers
+  // reported.
   std::size_t shared_failures() const { return shared_failures_.size(); }
 
   // Records that a backend of the service has echoed the request id in an
   // answer.
   void OnNamedRequest(const std::string& service);
 
-  // Budget of a service for hedges and retries. OnFirstRequest counts a request
-  // to the service, before its first attempt. TryTakeExtraAttempt returns false
-  // when the budget allows no extra attempt now, otherwise counts one.
+  // These functions use the service's budget for hedges and retries.
+  // OnFirstRequest counts a request to the service, before its first attempt.
+  // TryTakeExtraAttempt returns false when the budget allows no extra attempt
+  // now; otherwise it counts an extra attempt and returns true.
   void OnFirstRequest(const std::string& service, MonotonicTime now);
   bool TryTakeExtraAttempt(const std::string& service, MonotonicTime now);
 
-  // Number of backends of all services that may get requests.
+  // Returns the number of backends of all services that may get requests.
   std::size_t live_backends() const { return live_backends_; }
-  // Number of routers that share the connections of the backends.
+  // Returns the number of routers that share the connections of the backends.
   std::size_t routers() const { return routers_; }
-  // Number of backends that Update has processed since the start because a view
-  // differed from the one before.
+  // Returns how many backends Update has processed since the pool was created
+  // because a view differed from the previous one.
   std::uint64_t backends_processed() const { return backends_processed_; }
 
  private:
   using Backends = std::map<std::string, Backend>;
 
-  // Sets the number of routers. A decrease applies to the budgets after one
-  // more window.
+  // Sets the number of routers. A decrease changes the retry budgets only after
+  // one more window.
   void SetRouterCount(std::size_t routers, MonotonicTime now);
-  // Limits of the retry budgets for the current number of routers.
+  // Returns the limits of the retry budgets for the current number of routers.
   const ExtraAttemptLimits& BudgetLimits(MonotonicTime now);
   void UpdateBackends(const session::FleetView& view, MonotonicTime now);
   // Adds a backend that is new, or updates one that has changed.
@@ -275,33 +283,34 @@
   // Moves the backend into or out of the backends of its service.
   void SetRetired(Backend& backend, bool retired);
   // Discards the observations of a backend whose process has started again
-  // under the same id: they say nothing about the new process. The attempts in
-  // flight at the old process bring no answer and do not count against the new
-  // one.
+  // under the same id, because they do not apply to the new process. The old
+  // process no longer answers its attempts in flight, and they do not count
+  // against the new process.
   void ResetObservations(Backend& backend);
   void UpdateServices(const session::FleetView& view);
-  // Updates the share of this router in the request rate of cold backends.
+  // Updates this router's share of the request rate of cold backends.
   void UpdateColdShares(const session::FleetView& view);
-  // Applies the current rollouts.
+  // Applies the rollouts of the view to the services and their canary
+  // allowances.
   void UpdateRollouts(const session::FleetView& view);
-  // Erases services that neither the route table nor a backend names.
+  // Erases services that are not in the route table and have no backend.
   void EraseUnusedServices();
 
-  // Whether the rules allow this request at the backend, now or later. Every
-  // choice of a backend calls this.
+  // Whether the criteria allow this request at the backend, now or later. Every
+  // code path that chooses a backend calls this.
   static bool IsEligible(const Backend& backend,
                          const BackendCriteria& criteria);
   // Whether the backend is cold and its service limits requests to cold
   // backends.
   static bool IsColdLimited(const Backend& backend, MonotonicTime now);
-  // Whether the attempt should go to a canary: only the first attempt of a
-  // request, within the canary allowance. Hedges and retries go to backends of
-  // the baseline version, which do not share the faults of the canaries, as
-  // long as one is available.
+  // Whether the attempt should go to a canary. Only the first attempt of a
+  // request may, and only within the canary allowance. Hedges and retries go to
+  // backends of the baseline version, which do not share the faults of the
+  // canaries, as long as one is available.
   static bool WantsCanary(const Service& service,
                           const BackendCriteria& criteria);
-  // Returns the backend with the lowest expected cost among the canaries or
-  // among the others.
+  // Returns the backend with the lowest expected cost among the canaries, or
+  // among the backends that are not canaries.
   const Backend* ChooseAmong(Service& service, const BackendCriteria& criteria,
                              bool canary, MonotonicTime now);
   // Whether the backend may get an attempt now. It may still be ejected.
@@ -310,18 +319,21 @@
   // Whether the backend cannot get an attempt now but is expected to soon: only
   // attempts in flight or a short backoff prevent it.
   static bool IsBusy(const Backend& backend, MonotonicTime now);
-  // The share of this router in the connections that the backend accepts.
+  // Returns this router's share of the connections that the backend accepts, as
+  // a number of connections.
   std::size_t ConnectionShare(const Backend& backend) const;
-  // The median of its recent latencies, or the typical latency of its service
-  // where the backend has not answered recently.
+  // Returns the median of the backend's recent latencies, or the typical
+  // latency of its service if the backend has not answered recently.
   static Duration MedianLatency(const Backend& backend, MonotonicTime now);
   static Duration ExpectedLatency(const Backend& backend, MonotonicTime now);
-  // What the recent failures of the backend add to its expected latency.
+  // Returns the time that the recent failures of the backend add to its
+  // expected latency.
   // @param failed_attempt cost of one failed attempt now.
   Duration FailureCost(const Backend& backend, Duration failed_attempt,
                        MonotonicTime now) const;
-  // The share of attempts at the backend that are expected to fail, from own
-  // and reported failures.
+  // Returns the share of attempts at the backend that are expected to fail,
+  // from the failures that this router observed and those that other routers
+  // reported.
   double ExpectedFailureShare(const Backend& backend, MonotonicTime now) const;
   // Logs the outcome of an attempt for the other routers, if it is useful to
   // them.
@@ -331,7 +343,8 @@
   std::string RegionOf(const std::string& zone) const;
   void OnAnswered(Backend& backend, MonotonicTime sent,
                   MonotonicTime now) const;
-  // Counts a failure of the backend and returns the backoff that follows it.
+  // Counts a failure of the backend and returns the backoff or ejection time
+  // that follows.
   static Duration NextBackoff(Backend& backend, Duration initial,
                               Duration maximum);
 
@@ -339,15 +352,15 @@
   std::mt19937_64 random_;
   // Number of routers that share the connections of backends.
   std::size_t routers_ = 1;
-  // When the number of routers falls, the old number still divides the retry
-  // budget until this time. max() when no decrease is pending.
+  // After the number of routers has fallen, the retry budget is divided by the
+  // old number until this time. max() when no decrease is pending.
   MonotonicTime budget_routers_decrease_at_ = MonotonicTime::max();
   Backends backends_;
   std::map<std::string, Service> services_;
   std::size_t live_backends_ = 0;
   // Ids of backends that have left the list and still have attempts in flight.
   std::set<std::string> removed_;
-  // The parts of the previous view, for comparison with the next one.
+  // The parts of the previous view that Update compares with the next one.
   decltype(session::FleetView::discovered) applied_backends_;
   decltype(session::FleetView::evacuations) applied_evacuations_;
   routes::RouteTablePointer applied_table_;
--- a/source/common/forwarding/backend_pool_update.cc
+++ b/source/common/forwarding/backend_pool_update.cc
@@ -1,5 +1,5 @@
-// How BackendPool applies views: it processes what differs from the previous
-// view.
+// Implements BackendPool::Update, which processes only what differs from the
+// previous view.
 #include <algorithm>
 #include <utility>
 
@@ -8,7 +8,7 @@
 namespace juniperway::forwarding {
 namespace {
 
-// Names of the routers that accept requests.
+// Returns the names of the routers that accept requests.
 std::vector<std::string> RouterNames(const session::FleetView& view) {
   std::vector<std::string> names;
   for (const auto& [name, member] : view.members) {
--- a/source/common/forwarding/client_timeout_estimator.h
+++ b/source/common/forwarding/client_timeout_estimator.h
@@ -9,12 +9,13 @@
 
 namespace juniperway::forwarding {
 
-// Estimates how long before a request its client first sent it.
+// Estimates how long ago the client of a request sent that request for the
+// first time.
 class ClientTimeoutEstimator {
  public:
-  // A timeout counts for one to two of these windows. Settings of clients
-  // change, and a single long timeout must not make all later requests count as
-  // retries.
+  // The estimator uses a timeout for one to two of these windows. Settings of
+  // clients change, and a single long timeout must not make all later requests
+  // count as retries.
   static constexpr Duration kWindow = seconds(10);
 
   // @param allowed the timeout that a request came with.
--- a/source/common/forwarding/cold_allowance.cc
+++ b/source/common/forwarding/cold_allowance.cc
@@ -18,7 +18,9 @@
 ColdShare ColdShareOf(const std::string& router,
                       const std::vector<std::string>& routers,
                       const std::string& backend, double rate) {
-  // A router that the others do not know yet would add to their shares.
+  // A router that the other routers do not know yet must not send: its requests
+  // would exceed the rate of the backend, which those routers share among
+  // themselves.
   const bool known = std::ranges::find(routers, router) != routers.end();
   const auto selected = std::min(
       routers.size(),
--- a/source/common/forwarding/cold_allowance.h
+++ b/source/common/forwarding/cold_allowance.h
@@ -2,12 +2,13 @@
 // that all routers together stay below the rate that the backend accepts.
 // BackendPool owns one for each backend. Callers pass the current time.
 //
-// The rate is mostly smaller than the number of routers, so an even share would
-// be a fraction of a request. Rendezvous hashing therefore selects for each
-// backend as many routers as the rate has whole requests, and each of them may
-// send its share of the rate. This needs no messages and changes few selections
-// when a router joins or leaves. Routers whose views differ for a moment select
-// different sets; the backend must accept enough above its rate to cover that.
+// The rate is mostly smaller than the number of routers, so each router's even
+// share would be a fraction of a request. Rendezvous hashing therefore selects
+// for each backend as many routers as the rate has whole requests, and each of
+// them may send its share of the rate. This needs no messages and changes few
+// selections when a router joins or leaves. Routers whose views differ for a
+// moment select different sets; the backend must accept enough above its rate
+// to cover that.
 #pragma once
 
 #include <cstddef>
@@ -18,9 +19,9 @@
 
 namespace juniperway::forwarding {
 
-// What one router may send to one cold backend.
+// Bound of the requests that one router may send to one cold backend.
 struct ColdShare {
-  // Number of requests per window. 0 when this router may send none.
+  // Maximum number of requests per window. 0 when this router may send none.
   std::size_t requests = 0;
   // Length of the sliding window that bounds the requests.
   Duration window{};
@@ -28,7 +29,7 @@
   bool operator==(const ColdShare&) const = default;
 };
 
-// Returns the share of `router` in the requests that a cold backend accepts.
+// Returns the share that `router` has of a cold backend's requests.
 // @param routers names of all routers.
 // @param backend id of the cold backend.
 // @param rate requests per second that the backend accepts from all routers,
@@ -40,7 +41,8 @@
 // Counts the requests that this router sent to one cold backend.
 class ColdAllowance {
  public:
-  // Whether the share allows one more request now. OnSent counts one.
+  // Whether the share allows one more request now. Call OnSent for each request
+  // that is sent.
   bool MaySend(const ColdShare& share, MonotonicTime now) const;
   void OnSent(const ColdShare& share, MonotonicTime now);
 
--- a/source/common/forwarding/connection_allowance.cc
+++ b/source/common/forwarding/connection_allowance.cc
@@ -5,8 +5,9 @@
 namespace juniperway::forwarding {
 namespace {
 
-// Answers on each allowed connection before one more is allowed. At a few
-// answers per second the router uses its whole share within one or two seconds.
+// Number of answers on each allowed connection before the router may use one
+// more. At a few answers per second the router uses its whole share within one
+// or two seconds.
 constexpr double kAnswersPerStep = 4;
 // Factor that a refused or reset connection applies to the number of
 // connections.
--- a/source/common/forwarding/connection_allowance.h
+++ b/source/common/forwarding/connection_allowance.h
@@ -1,9 +1,10 @@
 // ConnectionAllowance bounds the connections that a router uses at one backend
 // by additive increase and multiplicative decrease. BackendPool owns one for
 // each backend. A backend accepts a fixed number of connections from all
-// clients together and resets any more; a router cannot query how many other
-// clients or crashed routers hold. So the allowance starts with one connection,
-// grows with answers and shrinks after a reset.
+// clients together and resets further ones. A router cannot find out how many
+// connections other clients and crashed routers hold. The allowance therefore
+// starts with one connection, grows with answers and shrinks after a refused or
+// reset connection.
 #pragma once
 
 #include <cstddef>
--- a/source/common/forwarding/crash_guard.h
+++ b/source/common/forwarding/crash_guard.h
@@ -34,11 +34,12 @@
 // Decides per request fingerprint; see the top of this file.
 class CrashGuard {
  public:
-  // Bounds the router's own observations; the oldest is evicted first. Each
-  // takes 64 bytes and the ids of its backends.
+  // Maximum number of the router's own observations; the guard evicts the
+  // oldest first. Each observation takes 64 bytes and the ids of its backends.
   static constexpr std::size_t kMaximumObservations = 1024;
-  // How long an observation counts without further evidence: longer than a
-  // crash report takes to become a verdict, including a leader election.
+  // How long the guard uses an observation without further evidence. It is
+  // longer than the control group takes to turn a crash report into a verdict,
+  // including a leader election.
   static constexpr Duration kObservationTimeToLive = seconds(60);
   // Distinct backends that must crash while they run a request before it is
   // suspected. One or two may be a coincidence: a crash also breaks the other
@@ -47,19 +48,20 @@
 
   void OnView(const session::FleetView& view);
 
-  // The backends crashed while they ran the request, and none has survived it.
+  // Records that these backends crashed while they ran the request, and that
+  // none has survived it.
   void OnBackendsCrashed(RequestFingerprint request,
                          const std::vector<std::string>& backends,
                          MonotonicTime now);
-  // A backend answered the request successfully.
-  // @return true when this router had observed crashes under the request, or
-  //   the newest view lists it as crashing.
+  // Records that a backend answered the request successfully.
+  // @return true when this router had observed crashes while backends ran the
+  //   request, or the newest view lists the request as crashing.
   bool OnSurvived(RequestFingerprint request);
 
   RequestHandling HandlingOf(RequestFingerprint request,
                              MonotonicTime now) const;
 
-  // Number of requests that the newest view quarantines.
+  // Returns the number of requests that the newest view quarantines.
   std::size_t quarantined() const { return quarantined_; }
 
  private:
--- a/source/common/forwarding/crash_reporter.cc
+++ b/source/common/forwarding/crash_reporter.cc
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-// The checks of the backends that were lost under one request.
+// The checks of the backends that were lost while they ran one request.
 struct CrashReporter::LossCheck {
   RequestFingerprint request;
   std::size_t unchecked = 0;
--- a/source/common/forwarding/crash_reporter.h
+++ b/source/common/forwarding/crash_reporter.h
@@ -24,8 +24,8 @@
 class CrashReporter {
  public:
   // Maximum number of checks in flight; about twice the shards of a query at
-  // the target size (520). More lost connections at once are caused by the
-  // network or by overload, and the reporter does not check them.
+  // the target size (520). If more connections are lost at once, the network or
+  // overload is the cause, and the reporter does not check them.
   static constexpr std::size_t kMaximumChecks = 1024;
 
   // Maximum reports to the control group a second; the reporter drops the rest.
@@ -40,7 +40,7 @@
   CrashReporter(const CrashReporter&) = delete;
   CrashReporter& operator=(const CrashReporter&) = delete;
 
-  // Called once for each run of the request that has ended.
+  // Processes the end of a run of the request. Call it once for each run.
   void OnRunEnded(RequestFingerprint request, const CrashEvidence& evidence);
 
  private:
--- a/source/common/forwarding/events.h
+++ b/source/common/forwarding/events.h
@@ -33,7 +33,8 @@
                                                Severity::kInfo};
 inline constexpr EventType kCrashReportLimited{
     3416, "crash_report_limited", Severity::kWarning, Volume::kRequest};
-// Volume kRequest: rate-limited like the other events about single requests.
+// This event has volume kRequest: it is rate-limited like the other events
+// about single requests.
 inline constexpr EventType kBackendsCrashed{
     3415, "backends_ended", Severity::kWarning, Volume::kRequest};
 inline constexpr EventType kRequestRefused{3410, "request_refused",
--- a/source/common/forwarding/exchange.cc
+++ b/source/common/forwarding/exchange.cc
@@ -107,8 +107,8 @@
   return true;
 }
 
-// A request must not use an expired token: it would add to the tokens that were
-// granted later, and the tenant would exceed its limit.
+// A request must not use an expired token: the request would run in addition to
+// those with tokens granted later, and the tenant would exceed its limit.
 bool Exchange::HasToken(MonotonicTime now) {
   if (now > request_.token_until) {
     const auto renewed = environment_.renew_token(request_.limited_tenant);
--- a/source/common/forwarding/exchange.h
+++ b/source/common/forwarding/exchange.h
@@ -39,11 +39,11 @@
     // @return when the new token expires; std::nullopt when there is none.
     std::function<std::optional<MonotonicTime>(const std::string& tenant)>
         renew_token;
-    // Called after an attempt has ended: the exchange may now wait for other
-    // backends.
+    // The exchange calls this after an attempt has ended. The exchange may then
+    // wait for other backends.
     std::function<void(const Exchange& exchange)> on_progress;
-    // Called once the exchange is over: the client has its answer or has
-    // disconnected.
+    // The exchange calls this once it is over, when the client has its answer
+    // or has disconnected.
     std::function<void(const Exchange& exchange)> on_over;
   };
 
@@ -51,10 +51,10 @@
   struct Request {
     // Unique in this process, in the order of arrival.
     std::uint64_t number = 0;
-    // Keeps `route` alive.
+    // The route table that owns `route`; this pointer keeps both alive.
     routes::RouteTablePointer table;
     const routes::Route* route = nullptr;
-    // The service that was chosen for a split route; empty for a scatter.
+    // The service that the router chose for a split route; empty for a scatter.
     std::string service;
     // Priority of the tenant, or of the route when there is no tenant; 0 is the
     // most urgent.
@@ -69,7 +69,8 @@
     RequestFingerprint fingerprint;
     // The client's address, without its port.
     std::string client_address;
-    // Backends have crashed under this request before; see RequestRun.
+    // Whether backends have crashed while they ran this request before; see
+    // RequestRun.
     bool suspected = false;
     // Revision of the fleet view by which the request was routed.
     std::uint64_t revision = 0;
@@ -91,7 +92,8 @@
   bool Admit();
   // Refuses a request that waits for backends.
   void StopWaiting();
-  // Called when backends may have become free.
+  // Sends the attempts that wait for a backend. The dispatcher calls this when
+  // backends may have become free.
   void OnCapacity();
   // Cancels the attempts in flight and answers the client at once. The router
   // calls this at the end of its graceful shutdown.
@@ -105,16 +107,16 @@
   // is over, or else arms the timer.
   void CarryOutActions();
   void Send(const SendAction& action);
-  // @param sent when the attempt was started.
+  // @param sent when the attempt was sent.
   void OnResponse(const SendAction& action, MonotonicTime sent,
                   net::HttpClientResponse response);
   void OnClientGone();
   bool HasToken(MonotonicTime now);
   void ArmTimer();
   void Finish();
-  // Sends the client's answer, and updates the log and the metrics.
+  // Sends the answer to the client, and updates the log and the metrics.
   void Answer(RunOutcome outcome);
-  // The request's fingerprint as text, for the log.
+  // Returns the request's fingerprint as text, for the log.
   std::string Fingerprint() const;
   void LogEnd(const RunOutcome& outcome, Duration elapsed) const;
 
--- a/source/common/forwarding/exchange_dispatcher.h
+++ b/source/common/forwarding/exchange_dispatcher.h
@@ -1,5 +1,5 @@
-// Owns the exchanges of one router while they are in flight, and resumes those
-// that wait for backends when some may have become free.
+// Owns the exchanges of one router while they are in flight, and resumes
+// exchanges that wait for backends when backends may have become free.
 //
 // RouterServer owns the dispatcher, which runs on the io_context's thread. An
 // AdmissionQueue orders the waiting exchanges. The dispatcher resumes them only
@@ -31,8 +31,8 @@
   // Starts an exchange and owns it until OnOver.
   void Start(const std::shared_ptr<Exchange>& exchange);
 
-  // Called from Exchange::Environment: an attempt of the exchange has ended, or
-  // the exchange is over.
+  // The callbacks of Exchange::Environment: OnProgress is called after an
+  // attempt of the exchange has ended, OnOver once the exchange is over.
   void OnProgress(const Exchange& exchange);
   void OnOver(const Exchange& exchange);
 
@@ -42,7 +42,8 @@
   std::size_t in_flight() const { return exchanges_.size(); }
 
  private:
-  // Updates short_of_backends_ for this exchange.
+  // Adds the exchange to short_of_backends_ or removes it, according to its
+  // current state.
   void TrackShortage(const Exchange& exchange);
   bool IsAnythingWaiting() const;
   // Calls Dispatch after `delay`, or earlier if an earlier call is scheduled.
@@ -55,7 +56,7 @@
 
   asio::steady_timer timer_;
   MonotonicTime next_dispatch_ = MonotonicTime::max();
-  // By number, which is the order of arrival.
+  // Exchanges in flight by request number, which is the order of arrival.
   std::map<RequestNumber, std::shared_ptr<Exchange>> exchanges_;
   AdmissionQueue admission_;
   // Admitted exchanges with shards that wait for a backend.
--- a/source/common/forwarding/extra_attempt_budget.cc
+++ b/source/common/forwarding/extra_attempt_budget.cc
@@ -6,8 +6,9 @@
 namespace {
 
 // Share of the budget that a router uses. Each router stays within its budget
-// in every window, and so does their sum; the rest covers clock differences and
-// delays between routers and backends.
+// in every window, so all routers together stay within the sum of the budgets;
+// the remaining share covers clock differences and delays between routers and
+// backends.
 constexpr double kUsedShare = 0.95;
 
 }  // namespace
--- a/source/common/forwarding/extra_attempt_budget.h
+++ b/source/common/forwarding/extra_attempt_budget.h
@@ -34,16 +34,18 @@
   // Counts a request to the service, before its first attempt.
   void OnRequest(const ExtraAttemptLimits& limits, MonotonicTime now);
 
-  // @return false when no extra attempt may be sent now; otherwise counts one.
+  // @return false when no extra attempt may be sent now; otherwise the function
+  //   counts one and returns true.
   bool TryTakeAttempt(const ExtraAttemptLimits& limits, MonotonicTime now);
 
-  // Remaining share of the extra attempts that are allowed in the window, 0 to
-  // 1.
+  // Returns the remaining share of the extra attempts that are allowed in the
+  // window, 0 to 1.
   double RemainingShare(const ExtraAttemptLimits& limits, MonotonicTime now);
 
  private:
-  // The counts of a window are kept in this many slices. The oldest slice
-  // counts in whole, so that the budget covers up to 1.1 windows.
+  // The budget keeps the counts of a window in this many slices. The oldest
+  // slice counts completely, although part of it may be older than the window,
+  // so the budget covers up to 1.1 windows.
   static constexpr std::size_t kSlices = 22;
 
   struct Slice {
@@ -51,7 +53,7 @@
     std::uint32_t extra_attempts = 0;
   };
 
-  // Allowed and sent extra attempts in the window.
+  // Numbers of allowed and of sent extra attempts in the window.
   struct Usage {
     double allowed = 0;
     double taken = 0;
--- a/source/common/forwarding/failure_rate.h
+++ b/source/common/forwarding/failure_rate.h
@@ -4,8 +4,9 @@
 // attempts. Callers pass the current time.
 //
 // Backoffs and ejections mostly last less than one or two seconds. A router of
-// a large fleet sends to one backend about that rarely, so that they have ended
-// before its next request. This failure rate lasts longer.
+// a large fleet sends to a given backend at intervals of about that length, so
+// a backoff or ejection has ended before the next request of the router to that
+// backend. The failure rate decays more slowly and still affects that request.
 #pragma once
 
 #include "common/base/time.h"
@@ -26,13 +27,14 @@
   //   so that a single failure of a rarely used backend gives one half.
   double Get(MonotonicTime now) const;
 
-  // Decayed number of attempts that the rate is based on.
+  // Returns the decayed number of attempts that the rate is based on.
   double DecayedAttempts(MonotonicTime now) const {
     return ended_ * DecayFactor(now);
   }
 
  private:
-  // Decay of the counts since the last recorded attempt, 0 to 1.
+  // Returns the factor by which the counts have decayed since the last recorded
+  // attempt, 0 to 1.
   double DecayFactor(MonotonicTime now) const;
 
   MonotonicTime last_{};
--- a/source/common/forwarding/fingerprint_request.cc
+++ b/source/common/forwarding/fingerprint_request.cc
@@ -21,8 +21,8 @@
   add(request.target);
   add(request.body);
   // The client's identity, but not its address: a client may send a request
-  // again from another host, where a new fingerprint would let it crash
-  // backends anew.
+  // again from another host, and with a new fingerprint the request could crash
+  // further backends.
   add(tenant.empty() ? request.Header("authorization").value_or("") : tenant);
   return {hash};
 }
--- a/source/common/forwarding/fingerprint_request.h
+++ b/source/common/forwarding/fingerprint_request.h
@@ -10,8 +10,8 @@
 namespace juniperway::forwarding {
 
 // @param tenant name of the request's tenant. When it is empty, the credentials
-//   identify the client. The tenant is preferred because its keys may be
-//   rotated while its requests stay the same.
+//   identify the client. The tenant name takes precedence because a tenant may
+//   rotate its keys while its requests stay the same.
 RequestFingerprint FingerprintOf(const net::HttpRequest& request,
                                  const std::string& tenant = "");
 
--- a/source/common/forwarding/header_names.h
+++ b/source/common/forwarding/header_names.h
@@ -11,7 +11,7 @@
   // --- From the client, forwarded to backends
   // Identifies one request that a client sends; backends echo it in answers.
   std::string request_id = "X-Request-Id";
-  // How long the sender waits for an answer, in milliseconds.
+  // How long the sender of the request waits for an answer, in milliseconds.
   std::string deadline = "X-Deadline-Ms";
 
   // --- To backends
--- a/source/common/forwarding/idle_connections.h
+++ b/source/common/forwarding/idle_connections.h
@@ -17,11 +17,11 @@
   explicit IdleConnections(Duration idle_timeout)
       : idle_timeout_(idle_timeout) {}
 
-  // Records that an attempt was sent: it uses an idle connection or opens a new
-  // one.
+  // Records that an attempt was sent. An attempt uses an idle connection or
+  // opens a new one.
   void OnSent(MonotonicTime now);
-  // Records that an attempt ended with a complete answer: its connection is
-  // idle now.
+  // Records that an attempt ended with a complete answer, which leaves its
+  // connection idle.
   void OnAnswered(MonotonicTime now) { idle_since_.push_back(now); }
   // Records that all connections are closed.
   void Clear() { idle_since_.clear(); }
--- a/source/common/forwarding/message_codec.cc
+++ b/source/common/forwarding/message_codec.cc
@@ -22,14 +22,17 @@
 constexpr int kStatusBadGateway = 502;
 constexpr int kStatusUnavailable = 503;
 constexpr int kStatusTimedOut = 504;
-// When a refused client should send its request again. The causes (backends
-// that restart, full queues) rarely end at once, and a client has few retries.
+// When a refused client should send its request again. The causes of refusals
+// (backends that restart, full queues) rarely end at once, and a client has few
+// retries.
 constexpr Duration kRetryAfter = milliseconds(500);
 // Timeout to open a connection to a backend: many times the round trip to
-// another region. The router treats a slower backend as unreachable.
+// another region. If opening takes longer, the router treats the backend as
+// unreachable.
 constexpr Duration kConnectTimeout = milliseconds(400);
-// RequestRun cancels an attempt at its deadline. The HTTP client's own timeout
-// is this much later and takes effect only if RequestRun fails to cancel.
+// RequestRun cancels an attempt at the attempt's deadline. The HTTP client's
+// own timeout is this much later and takes effect only if RequestRun fails to
+// cancel.
 constexpr Duration kTransferTimeoutMargin = seconds(1);
 constexpr std::uint64_t kMaximumDeadlineMs = 24ULL * 3600 * 1000;
 
@@ -48,7 +51,7 @@
 
 using Fields = std::vector<std::pair<std::string, std::string>>;
 
-// Names listed in the "Connection" headers, in lower case.
+// Returns the names listed in the "Connection" headers, in lower case.
 std::set<std::string> ConnectionHeaderTokens(const Fields& fields) {
   std::set<std::string> names;
   for (const auto& [name, value] : fields) {
@@ -90,7 +93,7 @@
 bool IsSuccess(int status) { return status >= 200 && status < 300; }
 
 // Makes an answer with a JSON error body.
-// @param retry_after zero omits the Retry-After header.
+// @param retry_after value of the Retry-After header; zero omits the header.
 net::HttpResponse MakeFailure(int status, const char* code,
                               const std::string& message,
                               Duration retry_after = Duration(0)) {
@@ -236,7 +239,8 @@
     return end;
   }
   const std::string* signature = Find(response.headers, names.signature);
-  // The router requested no encoding, so an encoded body is not the backend's.
+  // The router requested no encoding, so an encoded body does not come from the
+  // backend.
   const bool encoded = Find(response.headers, "content-encoding") != nullptr;
   if (signature == nullptr || signature->empty() || encoded) {
     end.result = AttemptResult::kIncompleteAnswer;
--- a/source/common/forwarding/message_codec.h
+++ b/source/common/forwarding/message_codec.h
@@ -25,7 +25,7 @@
 // @return std::nullopt when it is malformed.
 std::optional<Duration> ParseDeadline(const std::string& text);
 
-// Approximate size of the request line and the headers on the wire.
+// Returns the approximate size of the request line and the headers on the wire.
 std::size_t HeaderBytes(const net::HttpRequest& request);
 
 // The content of a client's request that all its attempts share.
@@ -33,16 +33,16 @@
   std::string method;
   std::string target;
   std::string body;
-  // Without the headers of the client's connection, the deadline and the
-  // expected backend.
+  // The client's headers, without those of the client's connection, the
+  // deadline and the expected backend.
   std::vector<std::pair<std::string, std::string>> headers;
-  // As the client sent it; empty when the client sent none.
+  // The request id that the client sent; empty when the client sent none.
   std::string request_id;
 };
 
-// What backends learn about the client of a request.
+// The identity of the client of a request, as the router passes it to backends.
 struct ClientIdentity {
-  // The route table has tenants. Backends then get neither the client's
+  // Whether the route table has tenants. Backends then get neither the client's
   // credentials nor the tenant name that the client claims.
   bool is_checked = false;
   // Name of the verified tenant; empty when there is none.
--- a/source/common/forwarding/observation_reporter.cc
+++ b/source/common/forwarding/observation_reporter.cc
@@ -5,9 +5,10 @@
 namespace juniperway::forwarding {
 namespace {
 
-// Delay from the first observation to the report that contains it. With the
-// interval of the relay (observation/observation_relay.h) all routers have the
-// observation within 0.35 s.
+// Delay from the first observation to the report that contains it. Together
+// with the interval at which control nodes relay observations
+// (observation/observation_relay.h), all routers have an observation within
+// 0.35 s.
 constexpr Duration kReportDelay = milliseconds(100);
 
 }  // namespace
--- a/source/common/forwarding/observation_reporter.h
+++ b/source/common/forwarding/observation_reporter.h
@@ -1,7 +1,7 @@
 // ObservationReporter sends the entries of an observation::ObservationLog to
-// the control nodes. It collects them for a short delay into one report,
-// because the parts of a scatter answer end within 0.1 s of each other. The
-// router owns it.
+// the control nodes. The reporter collects the entries of a short delay into
+// one report, because the parts of a scatter answer end within 0.1 s of each
+// other. The router owns it.
 #pragma once
 
 #include <asio/io_context.hpp>
--- a/source/common/forwarding/recent_latency.h
+++ b/source/common/forwarding/recent_latency.h
@@ -28,7 +28,7 @@
   // Adds a sample. Ignores an attempt that was sent before the last sample was
   // taken, so that all attempts in flight during one pause give one sample.
   void Record(Duration latency, MonotonicTime sent, MonotonicTime now);
-  // Returns the median of the latest samples.
+  // Returns the median of the latest kSamples or kInfrequentSamples samples.
   // @param assumed replaces each missing or expired sample.
   Duration Median(MonotonicTime now, Duration assumed) const;
 
--- a/source/common/forwarding/request_run.cc
+++ b/source/common/forwarding/request_run.cc
@@ -13,22 +13,22 @@
 // towards the route's maximum. This bounds how many of them a shard may add to
 // that maximum.
 constexpr std::size_t kMaximumUnrunAttempts = 2;
-// Delay until a hedge that could not be sent is tried again.
+// Delay until the run tries again to send a hedge that it could not send.
 constexpr Duration kHedgeRetryDelay = milliseconds(20);
-// Lost backends, while none has answered, after which the run risks only one
-// more backend. A scatter that crashes backends would otherwise go on to the
-// next replica of each shard and reach 8 instead of 5 of 12 backends
-// (integration.forwarding/crashing_requests).
+// Number of lost backends, while none has answered, after which the run sends
+// the request to only one more backend. Otherwise, a scatter that crashes
+// backends would continue with the next replica of each shard and reach 8
+// instead of 5 of 12 backends (integration.forwarding/crashing_requests).
 constexpr std::size_t kSuspectedAfterLost = 3;
 // A router that processes a due hedge later than this is itself overloaded: it
 // has not yet read answers that have arrived, or not yet sent earlier requests.
 // Hedges add to that load. Without this limit, routers opened 192,295
-// connections for 138,455 requests that reached a backend, in part for hedges
+// connections for 138,455 requests that reached a backend, partly for hedges
 // that were cancelled before they were sent. An event loop without backlog is
 // less than 1 ms late; reading an answer takes 0.3 ms at 0.12 of a core.
 constexpr Duration kMaximumHedgeLateness = milliseconds(4);
-// An overloaded router checks the hedge again after a delay equal to its
-// lateness, up to this maximum, which suits a target of 100 ms.
+// An overloaded router checks the hedge again after a delay equal to the
+// lateness of the check, up to this maximum, which suits a target of 100 ms.
 constexpr Duration kMaximumHedgeRecheckDelay = milliseconds(20);
 constexpr Duration kMinimumHedgeDelay = milliseconds(5);
 // Quantile of hedge latencies, including connection setup, that the hedge delay
@@ -100,7 +100,8 @@
   }
   const std::size_t required = IsScatter() ? RequiredShards() : 1;
   if (usable + busy < required) {
-    // The run sends nothing, so that the client may send the request again.
+    // The run sends nothing, so the request has not run and the client may send
+    // it again.
     Finish(RunResult::kNotRun, "too few shards have backends", now);
     return true;
   }
@@ -240,7 +241,8 @@
     case AttemptResult::kWrongBackend:
     case AttemptResult::kUnsent:
     case AttemptResult::kRefused:
-      // The backend did not run the request, so the trial showed nothing.
+      // The backend did not run the request, so the trial attempt is no
+      // evidence.
       trial_sent_ = false;
       break;
     case AttemptResult::kAnswered:
@@ -387,7 +389,8 @@
         CancelInFlight(shard, now);
         break;
       case AttemptResult::kRefused:
-        // Nothing was sent: the backend may get the request after its backoff.
+        // The run sent nothing to the backend, which may get the request after
+        // its backoff.
         std::erase(shard.tried, ended.backend);
         [[fallthrough]];
       case AttemptResult::kUnsent:
--- a/source/common/forwarding/request_run.h
+++ b/source/common/forwarding/request_run.h
@@ -35,8 +35,8 @@
   std::string address;
   // The client's deadline, shortened by the route's timeout.
   MonotonicTime deadline;
-  // The backends of this service echo the request id, so that an answer without
-  // one belongs to another request.
+  // Whether backends of this service echo the request id. An answer without one
+  // then belongs to another request.
   bool names_request = false;
   // The version that the backend runs, when its service has a rollout.
   std::string version{};
@@ -59,14 +59,14 @@
 // What a run observed about whether its request crashes backends.
 struct CrashEvidence {
   std::vector<LostBackend> lost;
-  // Some backend ran the request and sent a successful answer.
+  // Whether a backend ran the request and sent a successful answer.
   bool survived = false;
 };
 
 // A complete answer of a backend.
 struct BackendAnswer {
   int status = 0;
-  // In the order received, without the headers of the connection.
+  // Headers in the order received, without those of the connection.
   std::vector<std::pair<std::string, std::string>> headers;
   std::string signature;
   std::string body;
@@ -75,10 +75,10 @@
 // How an attempt ended.
 struct AttemptEnd {
   AttemptResult result = AttemptResult::kIncompleteAnswer;
-  // For kReset and kIncompleteAnswer: the connection was lost while the backend
-  // had the request, before the first byte of an answer.
+  // For kReset and kIncompleteAnswer: whether the connection was lost while the
+  // backend had the request, before the first byte of an answer.
   bool connection_lost = false;
-  // For kAnswered: the answer echoes the request id.
+  // For kAnswered: whether the answer echoes the request id.
   bool names_request = false;
   // Set for kAnswered and kFailed.
   BackendAnswer answer;
@@ -97,13 +97,13 @@
 // retry budget was used up, or no backend was available.
 enum class ExtraRefusal { kNone, kBudget, kNoBackend };
 
-// A shard whose part the client's answer lacks.
+// A shard whose part is missing from the client's answer.
 struct MissingShard {
   std::string service;
   // Ids of the backends that the request was sent to, in this order.
   std::vector<std::string> tried;
-  // All attempts had ended; false when the run ended while it still waited for
-  // the shard.
+  // Whether all attempts at the shard had ended. False when the run ended while
+  // it still waited for the shard.
   bool failed = false;
   ExtraRefusal extra_refusal = ExtraRefusal::kNone;
 };
@@ -130,8 +130,8 @@
 // each route, and the route's exchanges share it.
 struct RouteLatency {
   routing::LatencyTracker attempts;
-  // Those of the hedges that answered first. They include round trips to other
-  // regions and new connections.
+  // Latencies of the hedges that were answered first. They include round trips
+  // to other regions and new connections.
   routing::LatencyTracker hedges;
 };
 
@@ -142,26 +142,26 @@
   Duration answer_margin = milliseconds(18);
   // Additional time for each part. Merging a part and writing its signature
   // takes about 7 us of a core, and routers have 0.12 of a core. Without this
-  // margin, half of the answers with 90 parts missed a target of 120 ms by at
+  // margin, half of the answers with 90 parts miss a target of 120 ms by at
   // least 0.5 ms.
   Duration part_margin = microseconds(60);
   // An attempt is hedged after this quantile of the route's latencies. On days
-  // with faults, 0.99 with a minimum share of 0.5 reached a mean worth of
-  // 0.566, and 0.95 with 0.25 reached 0.583.
+  // with faults, 0.95 with a minimum_hedge_delay_share of 0.25 gives a mean
+  // worth of 0.583; 0.99 with 0.5 gives only 0.566.
   double hedge_quantile = 0.95;
-  // The hedge delay is also bounded so that the hedge can still be answered
-  // within the target. That bound lies between these shares of the target. It
-  // applies when many backends are slow, because the quantile then describes
-  // the slow backends only.
+  // The hedge delay also has an upper bound that leaves the hedge time to be
+  // answered within the target. The bound lies between these two shares of the
+  // target. It takes effect when many backends are slow, because the quantile
+  // then describes only the slow backends.
   double minimum_hedge_delay_share = 0.25;
   double maximum_hedge_delay_share = 0.5;
   // Retry-After of a request that is suspected of crashing backends. The
-  // control group attributes crashes in less time
+  // control group attributes a crash in less time
   // (control/crash_attribution.h).
   Duration suspect_retry_after = seconds(1);
-  // Maximum share of the request's time for which it waits for busy backends.
-  // The router then refuses it, so that the client has time to send it to
-  // another router.
+  // Maximum share of a request's time for which the request waits for busy
+  // backends. The router then refuses the request, so that the client has time
+  // to send it to another router.
   double maximum_wait_share = 0.75;
 };
 
@@ -171,8 +171,9 @@
   // @param service the service that was chosen for a split; a scatter
   //   ignores it.
   // @param deadline when the client stops waiting.
-  // @param suspected backends have crashed under the request before. The run
-  //   sends one trial attempt first; the others wait until it is answered.
+  // @param suspected whether backends have crashed while they ran the request
+  //   before. The run then sends one trial attempt first, and the other
+  //   attempts wait until it is answered.
   // @param latency of the route's attempts.
   // All references must stay valid for the lifetime of the run.
   RequestRun(const routes::Route& route, const std::string& service,
@@ -191,33 +192,33 @@
   bool Admit(MonotonicTime now);
   // Refuses the request of a waiting run.
   void StopWaiting(MonotonicTime now);
-  // Called when backends may have become free: sends the attempts that wait for
-  // one.
+  // Sends the attempts that wait for a backend. Call this when backends may
+  // have become free.
   void OnBackendsAvailable(MonotonicTime now);
   void OnEnded(AttemptId attempt, AttemptEnd end, MonotonicTime now);
-  // Called at NextDeadline().
+  // Processes what is due: call this at NextDeadline().
   void OnDeadline(MonotonicTime now);
-  // The client disconnected: cancels all attempts in flight. The run gets no
-  // outcome.
+  // Cancels all attempts in flight because the client has disconnected. The run
+  // gets no outcome.
   void OnClientGone(MonotonicTime now);
 
   // @return the actions since the previous call, in the order of execution.
   std::vector<RunAction> TakeActions();
-  // When OnDeadline must be called next; max() once the run is over.
+  // Returns when OnDeadline must be called next; max() once the run is over.
   MonotonicTime NextDeadline() const;
   const std::optional<RunOutcome>& outcome() const { return outcome_; }
 
-  // The run merges the answers of several services.
+  // Whether the run merges the answers of several services.
   bool IsScatter() const { return scatter_ != nullptr; }
-  // The run has sent nothing yet, because too many backends are busy.
+  // Whether the run has sent nothing yet because too many backends are busy.
   bool waiting() const { return !over_ && !admitted_; }
-  // Some shards of the admitted run wait for a busy backend.
+  // Whether the run is admitted and some of its shards wait for a busy backend.
   bool short_of_backends() const;
   // An answer after this time is late.
   MonotonicTime target_by() const { return target_by_; }
 
-  // Backends shed some of the run's attempts, and the run did not succeed
-  // within the target.
+  // Whether backends shed some of the run's attempts and the run did not
+  // succeed within the target.
   bool overloaded() const { return sheds_ > 0 && !succeeded_in_target_; }
 
   const CrashEvidence& crash_evidence() const { return crash_evidence_; }
@@ -232,7 +233,7 @@
     std::string incarnation;
     std::string address;
     MonotonicTime sent;
-    // The attempt was sent while an earlier one was in flight.
+    // Whether the attempt was sent while an earlier one was in flight.
     bool hedge = false;
   };
   // One service that the run needs an answer from.
@@ -263,15 +264,15 @@
     std::optional<BackendAnswer> failure;
   };
 
-  // The requirements of the shard's next attempt on its backend.
+  // Returns the criteria for the backend of the shard's next attempt.
   BackendCriteria NeedOf(const Shard& shard) const;
   // Sends an attempt for the shard.
   // @return false when no backend is available, or the retry budget is used up.
   bool Send(Shard& shard, MonotonicTime now);
-  // For a shard without attempts in flight: sends one, or waits for a busy
-  // backend, or marks the shard as failed. While the request is suspected or an
-  // answer must be awaited, the shard awaits evidence instead: an answer shows
-  // whether backends survive the request.
+  // For a shard without attempts in flight: sends an attempt, or waits for a
+  // busy backend, or marks the shard as failed. While the request is suspected
+  // or an answer must be awaited, the shard awaits evidence instead: an answer
+  // shows whether backends survive the request.
   void SendOrWait(Shard& shard, MonotonicTime now);
   // For a shard whose attempt could not be sent: waits if a backend may become
   // free in time, and otherwise marks the shard as failed.
@@ -286,8 +287,8 @@
   bool HasAttemptInFlight() const;
   void AwaitEvidence(Shard& shard);
   // Decides on the shards that await evidence, once no attempt is in flight or
-  // a backend has survived the request: sends the trial, or sends all of them,
-  // or marks all of them as failed.
+  // a backend has survived the request: sends the trial attempt, or sends an
+  // attempt for each of these shards, or marks all of them as failed.
   void ResumeShardsAwaitingEvidence(MonotonicTime now);
   // Sends the trial: one attempt, which shows whether backends survive the
   // request.
@@ -300,12 +301,14 @@
   void CancelInFlight(Shard& shard, MonotonicTime now);
   // Sends a hedge for the shard if the route and the budget allow it.
   void Hedge(Shard& shard, MonotonicTime now);
-  // Called after an attempt of the shard ended without an answer: sends another
-  // one if that is allowed.
+  // Processes an attempt of the shard that ended without an answer: sends
+  // another one if that is allowed, and marks the shard as failed if no further
+  // attempt is allowed and none is in flight.
   void Retry(Shard& shard, MonotonicTime now);
-  // How long before its target the answer must be sent.
+  // Returns how long before the target the run must send the answer.
   Duration AnswerMargin() const;
-  // Maximum delay that leaves a hedge time to be answered within the target.
+  // Returns the maximum delay that leaves a hedge time to be answered within
+  // the target.
   Duration MaximumHedgeDelay() const;
   Duration HedgeDelay() const;
   // Ends the run if its outcome is certain or its time is over.
@@ -336,15 +339,15 @@
   std::vector<Shard> shards_;
   CrashEvidence crash_evidence_;
   bool suspected_before_;
-  // The trial was sent, and a backend may have run it.
+  // Whether the trial attempt was sent and a backend may have run it.
   bool trial_sent_ = false;
   std::size_t shards_awaiting_evidence_ = 0;
-  // Some attempt may have run the request.
+  // Whether a backend may have run the request in some attempt.
   bool may_have_run_ = false;
   std::size_t attempts_sent_ = 0;
   std::size_t hedges_ = 0;
   std::size_t sheds_ = 0;
-  // The run succeeded within its target.
+  // Whether the run succeeded within its target.
   bool succeeded_in_target_ = false;
   std::vector<RunAction> actions_;
   std::optional<RunOutcome> outcome_;
--- a/source/common/forwarding/router_count.h
+++ b/source/common/forwarding/router_count.h
@@ -1,6 +1,6 @@
-// RouterCount counts the routers that accept requests. It processes only what
-// differs between successive views, because each start and stop of a router
-// causes a view at all others. The router owns it.
+// RouterCount counts the routers that accept requests. Update processes only
+// the differences between successive views, because each start or stop of a
+// router sends a new view to all other routers. The router owns it.
 #pragma once
 
 #include <cstddef>
--- a/source/common/forwarding/router_metrics.h
+++ b/source/common/forwarding/router_metrics.h
@@ -1,6 +1,6 @@
 // Prometheus metrics of the requests that a router forwards. RouterServer owns
-// them; the registry owns the counters.
-// Page: docs/operations/metrics.md.
+// the RouterMetrics object; the registry owns the counters. See
+// docs/operations/metrics.md.
 #pragma once
 
 #include <prometheus/counter.h>
@@ -34,7 +34,7 @@
 inline constexpr std::size_t kRequestEnds = 7;
 inline constexpr std::size_t kAttemptResults = 9;
 
-// The label values.
+// Returns the value of the label `result`.
 const char* NameOf(RequestEnd end);
 const char* NameOf(AttemptResult result);
 RequestEnd EndOf(const RunOutcome& outcome);
@@ -51,12 +51,13 @@
   void OnEnded(RequestEnd end, const RequestRun& run, std::size_t missing,
                Duration elapsed);
   void OnAttemptEnded(AttemptResult result);
-  // Called in addition to OnAttemptEnded for an attempt at a canary of a
-  // rollout.
+  // Counts an attempt at a canary of a rollout. Call it in addition to
+  // OnAttemptEnded.
   void OnCanaryAttemptEnded(AttemptResult result);
-  // The router refused a request before it was routed.
+  // Counts a request that the router refused before it routed it.
   void OnRefused(int status);
-  // The router refused a request because the route's backends are overloaded.
+  // Counts a request that the router refused because the route's backends are
+  // overloaded.
   void OnThrottled();
   void OnView(std::uint64_t revision, std::uint64_t table_version,
               const BackendPool& pool);
@@ -68,7 +69,8 @@
   // one.
   static constexpr std::size_t kNamedTenants = 100;
   void OnTenantRequest(const std::string& tenant, LimitDecision decision);
-  // The router refused a request because it crashes backends.
+  // Counts a request that the router refused because the request crashes
+  // backends.
   void OnQuarantineRefused();
   // @param requests number of requests that are quarantined now.
   void OnQuarantine(std::size_t requests);
--- a/source/common/forwarding/router_server.cc
+++ b/source/common/forwarding/router_server.cc
@@ -45,8 +45,8 @@
 // Retry-After of a quarantined request: it stays quarantined for an hour after
 // a client last sent it (control/crash_record.h), unless an operator clears it.
 constexpr Duration kQuarantineRetryAfter = seconds(3600);
-// Range of Retry-After when backends are overloaded: around the decay time of
-// AdaptiveThrottle, after which the admitted share has changed.
+// Range of Retry-After when backends are overloaded. It lies around the decay
+// time of AdaptiveThrottle, after which the admitted share has changed.
 constexpr Duration kMinimumOverloadRetryAfter =
     AdaptiveThrottle::kDecayTime / 2;
 constexpr Duration kMaximumOverloadRetryAfter =
@@ -332,7 +332,7 @@
                                    std::move(responder), history.latency));
   }
 
-  // Sets everything but the deadline and `elapsed_before`.
+  // Makes the request with all fields except the deadline and `elapsed_before`.
   Exchange::Request MakeRequest(const net::HttpRequest& message,
                                 const routes::Route& route,
                                 const routes::Tenant* tenant,
@@ -421,7 +421,8 @@
                      Duration wait) {
     const Exchange::Request& request = limited.request;
     const auto lease = admission_.Describe(request.limited_tenant);
-    // Random, so that clients that were refused together do not retry together.
+    // The delay is random so that refused clients do not retry at the same
+    // time.
     std::uniform_real_distribution<double> spread(1, 2);
     const Duration retry_after(static_cast<Duration::rep>(
         static_cast<double>(wait.count()) * spread(random_)));
@@ -443,7 +444,8 @@
     limited.responder->Send(std::move(response));
   }
 
-  // Releases the token of a request that was never sent, for another request.
+  // Releases the unexpired token of a request that was never sent, so that
+  // another request can use it.
   void ReturnUnusedToken(const Exchange& exchange) {
     const Exchange::Request& request = exchange.request();
     if (!request.limited_tenant.empty() && exchange.run().attempts() == 0 &&
@@ -452,7 +454,7 @@
     }
   }
 
-  // Called once an exchange is over: releases an unused token, and updates the
+  // Processes the end of an exchange: releases an unused token, and updates the
   // crash reporter and the route's throttle.
   void OnOver(const Exchange& exchange) {
     ReturnUnusedToken(exchange);
@@ -465,7 +467,7 @@
     }
   }
 
-  // Random, so that clients that were refused together do not retry together.
+  // The delay is random so that refused clients do not retry at the same time.
   Duration DrawRetryAfter() {
     std::uniform_int_distribution<Duration::rep> draw(
         kMinimumOverloadRetryAfter.count(), kMaximumOverloadRetryAfter.count());
@@ -551,8 +553,8 @@
     }
   }
 
-  // Requests heartbeats periodically while some rollout's share has to be
-  // renewed.
+  // Requests a heartbeat at regular intervals while a rollout has a share that
+  // the leader must renew.
   void RenewShares() {
     renewing_shares_ = request_heartbeat_ &&
                        std::ranges::any_of(rollouts_, [](const auto& entry) {
@@ -697,7 +699,7 @@
     return histories_.try_emplace(route.name, random_()).first->second;
   }
 
-  // By route name.
+  // Statistics of each route, by route name.
   std::map<std::string, RouteHistory> histories_;
   std::uint64_t last_request_number_ = 0;
   asio::steady_timer stop_timer_;
@@ -708,9 +710,10 @@
   std::set<std::string> evacuated_zones_;
   // The rollouts of the newest view, by service.
   std::map<std::string, session::RunningRollout> rollouts_;
-  // Services whose canaries get only the base share.
+  // Services whose canaries get only the base share because no leader has
+  // renewed a larger one.
   std::set<std::string> lapsed_shares_;
-  // renewal_timer_ is armed.
+  // Whether renewal_timer_ is armed.
   bool renewing_shares_ = false;
   MonotonicTime next_canary_report_ = MonotonicTime::min();
   bool was_ready_ = false;
--- a/source/common/forwarding/router_server.h
+++ b/source/common/forwarding/router_server.h
@@ -39,7 +39,8 @@
   PoolOptions pool;
   RunOptions run;
   // How long the router accepts new requests after a graceful shutdown begins:
-  // load balancers notice only after a delay that it is no longer ready.
+  // load balancers notice only after a delay that the router is no longer
+  // ready.
   Duration stop_notice = milliseconds(2500);
 };
 
@@ -54,7 +55,7 @@
   RouterServer(const RouterServer&) = delete;
   RouterServer& operator=(const RouterServer&) = delete;
 
-  // Called with each new fleet view of the session.
+  // Applies a new fleet view. The session calls this with each one.
   void OnView(const session::FleetViewPointer& view);
 
   // Must be called before the first request.
@@ -82,8 +83,8 @@
   // Returns the reports on canaries' answers, which the session's heartbeats
   // carry.
   std::vector<rollout::AnswerReport> MakeAnswerReport();
-  // Called when the session reaches another leader: the router sends all its
-  // canary reports again, because a new leader has received none.
+  // Makes the router send all its canary reports again, because a new leader
+  // has received none. Call it when the session reaches another leader.
   void OnNewLeader();
   // See session::ControlSessionClient::AnswerReportPorts.
   void OnSharesRenewed(const std::vector<rollout::RolloutNumber>& rollouts,
@@ -93,7 +94,7 @@
   // @param report sends this router's observations of backends to the control
   //   group, without retries.
   void SetObservationReport(ObservationReporter::Report report);
-  // Called with the observations of backends by other routers.
+  // Applies the observations that other routers made of backends.
   void OnObservations(const observation::BackendObservations& observations);
 
   // Begins a graceful shutdown. The router is not ready from now on, but
--- a/source/common/forwarding/split_chooser.h
+++ b/source/common/forwarding/split_chooser.h
@@ -1,7 +1,7 @@
 // SplitChooser divides the requests of a split route among its services by
 // their weights. Each request goes to the service whose count is furthest below
-// its share, so that the shares hold over short windows too. The router owns
-// it.
+// its share, which keeps the shares over short windows too. The router owns the
+// chooser.
 #pragma once
 
 #include <map>
--- a/source/common/forwarding/startup_queue.h
+++ b/source/common/forwarding/startup_queue.h
@@ -1,7 +1,8 @@
 // Queues requests that reach a router before it has its first route table. A
 // router that has just started receives the table within a fraction of a
-// second; refusing requests until then would cost clients one of their few
-// retries. RouterServer owns the queue, which runs on the io_context's thread.
+// second; if the router refused requests until then, each client would lose one
+// of its few retries. RouterServer owns the queue, which runs on the
+// io_context's thread.
 #pragma once
 
 #include <asio/io_context.hpp>
--- a/source/common/forwarding/stop_plan.cc
+++ b/source/common/forwarding/stop_plan.cc
@@ -5,9 +5,9 @@
 namespace juniperway::forwarding {
 namespace {
 
-// 1/8 of the timeout is reserved for the end of the process.
+// An eighth of the timeout is reserved for ending the process.
 constexpr int kReserveDivisor = 8;
-// The router accepts new requests for at most 1/2 of the timeout.
+// The router accepts new requests for at most half of the timeout.
 constexpr int kNoticeDivisor = 2;
 
 }  // namespace
--- a/source/common/forwarding/stop_plan.h
+++ b/source/common/forwarding/stop_plan.h
@@ -1,5 +1,5 @@
-// Times of a router's graceful shutdown, computed from the time that the
-// process has before it is killed. Pure functions and values.
+// Times of a router's graceful shutdown, computed from the time until the
+// process is killed. Pure functions and values.
 #pragma once
 
 #include "common/base/time.h"
@@ -8,7 +8,7 @@
 
 // The schedule of one graceful shutdown; RouterServer owns it.
 struct StopPlan {
-  // Until then the router accepts new requests: load balancers notice only
+  // The router accepts new requests until this time: load balancers notice only
   // after a delay that the router is no longer ready.
   MonotonicTime accept_until;
   // At this time the router abandons the requests in flight and answers their
--- a/source/common/forwarding/tenant_admission.h
+++ b/source/common/forwarding/tenant_admission.h
@@ -1,7 +1,7 @@
 // Enforces the tenants' rate limits, which hold across all routers of the
-// fleet. Most requests take a token from the router's own lease. Without a
-// token a request waits for the leader's next grant, which takes one round
-// trip.
+// fleet. Most requests take a token from the router's own lease. If the lease
+// has no token, the request waits for the next grant of the leader, which takes
+// one round trip.
 //
 // quota::RateLeases makes the decisions; this class adds the queue of waiting
 // requests and their timer. RouterServer owns it; it runs on one event loop.
@@ -27,7 +27,7 @@
   kOverLimit,  // The tenant has used up its limit.
   kUndecided,  // The control group did not answer; the router has no token.
 };
-// The name in logs and metrics.
+// Returns the name that logs and metrics show.
 const char* NameOf(LimitDecision decision);
 
 // Admits or refuses requests of rate-limited tenants.
@@ -42,7 +42,7 @@
   // election takes.
   static constexpr Duration kUndecidedRetryAfter = milliseconds(500);
 
-  // @param retry_after of a refusal: time until a token may be available.
+  // @param retry_after for a refusal, the time until a token may be available.
   using Callback =
       std::function<void(LimitDecision decision, Duration retry_after)>;
 
@@ -90,10 +90,11 @@
   asio::steady_timer timer_;
   bool timer_armed_ = false;
   quota::RateLeases leases_;
-  // By tenant; each queue has the oldest request first.
+  // Waiting requests by tenant; each queue has the oldest request first.
   std::map<std::string, std::deque<Waiting>> waiting_;
   std::size_t waiting_count_ = 0;
-  // A request waited kGrantTimeout without a grant, and none has arrived since.
+  // Whether a request has waited kGrantTimeout without a grant, and no grant
+  // has arrived since.
   bool control_unresponsive_ = false;
 };
 
--- a/source/common/forwarding/typical_latency.h
+++ b/source/common/forwarding/typical_latency.h
@@ -14,12 +14,12 @@
 // with steps relative to the estimate).
 class TypicalLatency {
  public:
-  // The quantile is low so that backends that are slow for a while, and still
-  // get requests, do not raise the estimate for the other backends of their
+  // The quantile is low because backends that are slow for a while and still
+  // get requests must not raise the estimate for the other backends of their
   // service.
   static constexpr double kQuantile = 0.25;
-  // Relative size of one step in each direction, before the quantile weights
-  // it.
+  // Relative size of one step in either direction, before it is weighted by the
+  // quantile.
   static constexpr double kRelativeStep = 0.05;
 
   // Moves the estimate one step towards the quantile.
--- a/test/integration/forwarding/crashing_requests_test.cc
+++ b/test/integration/forwarding/crashing_requests_test.cc
@@ -4,7 +4,8 @@
 // every backend which runs it. If the router treats each lost connection as a
 // lost answer, it retries at the next replica of every shard, so that one
 // request crashes all replicas of all shards. The client then sends the query
-// again, from another host and to another router, which has observed nothing.
+// again, from another host and to another router, which has not observed the
+// crashes.
 //
 // Such a query differs from others that lose their connections at the same
 // time: no backend ever answers it, and no process listens at the lost
@@ -23,7 +24,7 @@
 namespace {
 
 constexpr Duration kLimit = seconds(60);
-// The fixture's extra_window_s.
+// The fixture sets extra_window_s to the same value.
 constexpr Duration kRetryBudgetWindow = seconds(1);
 constexpr int kShards = 4;
 constexpr int kReplicas = 3;
@@ -148,8 +149,8 @@
 TEST_CASE("sending such a request once leaves each shard other replicas") {
   CrashingFleet crashing;
   CHECK(crashing.SendFatal(0).status >= 500);
-  // One replica of each shard, and one more, whose crash shows that the losses
-  // were no coincidence.
+  // The request reaches one replica of each shard, and one more, whose crash
+  // shows that the losses were no coincidence.
   CHECK(crashing.Arrivals() <= kShards + 1);
   CHECK(crashing.AwaitWholeAnswers());
 }
--- a/test/integration/forwarding/evacuation_test.cc
+++ b/test/integration/forwarding/evacuation_test.cc
@@ -1,6 +1,6 @@
 // Tests the evacuation of a zone with real processes: the router sends nothing
-// to the zone, the order survives a crash of every control node, and it ends
-// when an operator withdraws it.
+// to the zone, the order survives a crash of every control node, and the
+// evacuation ends when an operator withdraws the order.
 #include <doctest/doctest.h>
 
 #include "integration/forwarding/route_fleet.h"
--- a/test/integration/forwarding/explain_test.cc
+++ b/test/integration/forwarding/explain_test.cc
@@ -19,8 +19,8 @@
 
 constexpr Duration kLimit = seconds(60);
 
-// A scatter that is answered at its target without late shards, and a route
-// with a short timeout.
+// The table has a scatter that is answered at its target without late shards,
+// and a route with a short timeout.
 constexpr const char* kTable = R"({"version": 7, "routes": [
   {"name": "all", "host": "test.example", "path_prefix": "/all/",
    "execution": "repeatable", "timeout_ms": 15000, "target_ms": 300,
@@ -50,8 +50,8 @@
   return out.str();
 }
 
-// Runs the command until its output has `last_event`, the request's last event:
-// the router writes log lines shortly after it sends the answer.
+// Runs `juniperwayctl explain` until its output has `last_event`, the request's
+// last event: the router writes log lines shortly after it sends the answer.
 std::string Explain(const RouteFleet& fleet, const std::string& request_id,
                     const std::string& last_event) {
   std::string explanation;
@@ -73,7 +73,8 @@
 
 // A fleet that serves the table, with one backend for each of two services.
 struct ServingFleet {
-  // @param target the constructor waits until the fleet answers it with 200.
+  // @param target the constructor waits until the fleet answers requests for
+  //   this target with 200.
   explicit ServingFleet(const std::string& target) {
     REQUIRE(fleet.PutTable(kTable) == 200);
     REQUIRE(fleet.AwaitStatus(target, 200));
--- a/test/integration/forwarding/rollout_fleet.h
+++ b/test/integration/forwarding/rollout_fleet.h
@@ -1,5 +1,5 @@
-// A fleet of real processes with a rollout, and the requests that decide it.
-// Each test owns its fleet.
+// A fleet of real processes with a rollout, and the requests that decide the
+// rollout. Each test owns its fleet.
 #pragma once
 
 #include <doctest/doctest.h>
@@ -19,8 +19,8 @@
    "maximum_attempts": 2}],
   "services": [{"name": "s1", "maximum_connections": 200}]})";
 inline constexpr int kRolloutRouters = 3;
-// The duration leaves time for a leader election after each phase on slow
-// hardware.
+// The duration in the order leaves time for a leader election after each phase
+// on slow hardware.
 inline const std::string kRolloutOrder =
     R"({"service": "s1", "target_version": "v2", "duration_s": 20})";
 
--- a/test/integration/forwarding/rollout_test.cc
+++ b/test/integration/forwarding/rollout_test.cc
@@ -51,11 +51,11 @@
           200);
   StandInBackend& canary = fleet.fleet.AddBackend("new-1", "s1", "v2");
   canary.FailOn("/rare/");
-  // Only one router observes failures, which does not decide the rollout. A
-  // rollout that the leader cannot evaluate in time is rolled back as well.
+  // Only one router observes failures, which is not enough for a verdict. The
+  // leader also rolls back a rollout that it cannot evaluate in time.
   CHECK(fleet.RequestUntilDecided() == "rolled_back");
   CheckExposure(fleet, canary);
-  // Usually the routers have not received the rollback yet.
+  // At this time the routers have usually not received the rollback yet.
   fleet.fleet.RestartControls();
   CHECK(fleet.fleet.CallControl("GET", "/v1/rollouts/s1") == 200);
   CHECK(fleet.fleet.GetRollout("s1").state == "rolled_back");
--- a/test/integration/forwarding/route_fleet.h
+++ b/test/integration/forwarding/route_fleet.h
@@ -62,9 +62,11 @@
   void FailOn(const std::string& target_prefix);
   // The discovery list shows the backend as draining; see PublishDiscoveryList.
   bool draining = false;
-  // Targets of the requests that arrived for this backend, in order.
+  // Returns the targets of the requests that arrived for this backend, in
+  // order.
   std::vector<std::string> Targets() const;
-  // The header fields of the latest of these requests, as received.
+  // Returns the header fields of the latest request that arrived for this
+  // backend, as received.
   std::vector<std::pair<std::string, std::string>> LatestFields() const;
 
  private:
@@ -119,14 +121,16 @@
   }
 
   // Sends a table to the control nodes in turn until one accepts or refuses it.
-  // @return the status, 200 or 400 unless the time is over.
+  // @return the status: 200 or 400, or another one if none accepted or refused
+  //   the table in time.
   int PutTable(const std::string& table);
   std::string GetTable();
   // Sends a request to the control nodes in turn until one answers 200 or 400.
   // @return the status.
   int CallControl(const std::string& method, const std::string& path,
                   const std::string& body = "");
-  // The service's rollout, from the first control node that returns it.
+  // Returns the service's rollout, from the first control node that answers
+  // with it.
   RolloutStatus GetRollout(const std::string& service);
   // Waits until the rollout's latest change is in force at every router with a
   // lease.
@@ -139,11 +143,11 @@
   net::HttpClientResponse Request(const std::string& target,
                                   const std::string& id = "request-1",
                                   int router = 0);
-  // Like Request, with additional header fields.
+  // Like Request, but with additional header fields.
   net::HttpClientResponse RequestWith(
       const std::vector<std::pair<std::string, std::string>>& fields,
       const std::string& target, int router = 0);
-  // Like Request, by another client at another loopback address.
+  // Like Request, but from another client at another loopback address.
   net::HttpClientResponse RequestFrom(const std::string& client_address,
                                       const std::string& target,
                                       const std::string& id, int router);
@@ -156,8 +160,9 @@
   // @return the number of its control node.
   int LeaderNumber();
   // Waits until the wiped control node is a voter under a new id, the old id is
-  // no member, and the group reports itself as repaired. That report alone is
-  // not enough: it is still positive in the first second after a loss.
+  // no longer a member, and the group reports itself as repaired. The report
+  // alone is not enough, because the group still reports itself as repaired in
+  // the first second after a loss.
   bool AwaitRepaired();
 
   // @return the value of a router's metric without labels; 0 when it is
@@ -167,7 +172,7 @@
   // Waits until the quarantine of some request is in force at every router.
   bool AwaitQuarantine();
 
-  // Paths of the logs of all routers and control nodes.
+  // Returns the paths of the logs of all routers and control nodes.
   std::vector<std::string> LogFiles() const;
 
   lab::ChildProcess& router() { return routers_.front().process; }
@@ -181,10 +186,11 @@
   std::string LogOf(int number) const;
   std::string RouterLog(int number) const;
   std::string Seeds() const;
-  // Gets JSON from the first control node; no JSON object while no leader
-  // answers.
+  // Gets JSON from the first control node. Returns a value that is not a JSON
+  // object while no leader answers.
   nlohmann::json Read(const std::string& path);
-  // The control group's status; no JSON object while no leader answers.
+  // Returns the control group's status; not a JSON object while no leader
+  // answers.
   nlohmann::json Status();
   // @return the id of the voter at this control node's address; 0 when there is
   //   none or the status is missing.
@@ -211,7 +217,7 @@
   std::string network_;
   std::uint16_t http_port_ = 0;
   std::uint16_t peer_port_ = 0;
-  // The control node that was wiped last, and its member id before.
+  // The control node that was wiped last, and the member id that it had before.
   int wiped_ = -1;
   std::uint64_t wiped_id_ = 0;
   std::vector<std::optional<lab::ChildProcess>> controls_;
--- a/test/integration/forwarding/router_test.cc
+++ b/test/integration/forwarding/router_test.cc
@@ -43,8 +43,9 @@
 }
 
 // Guards against a client that gets the records of another request: a backend
-// may send a late answer in place of the next one. The router must not accept
-// an answer without a request id from a service whose other answers have one.
+// may send the late answer to one request in place of the answer to the next
+// one. The router must not accept an answer without a request id from a service
+// whose other answers have one.
 TEST_CASE("an answer without a request id is discarded where others have one") {
   RouteFleet fleet(1);
   auto& one = fleet.AddBackend("b1", "s1");
@@ -144,8 +145,8 @@
   const double retry_after = std::stod(HeaderOf(refused, "retry-after"));
   CHECK(retry_after >= 0.5);
   CHECK(retry_after <= 1.5);
-  // The router told the client that the request did not run, and never sends
-  // it.
+  // The router has told the client that the request did not run, and therefore
+  // must never send it.
   backend.SetAnswering(Answering::kSucceeds);
   CHECK(fleet.AwaitStatus("/one/", 200));
   CHECK(std::ranges::count(backend.Targets(), target) == 0);
--- a/test/integration/forwarding/shared_observations_test.cc
+++ b/test/integration/forwarding/shared_observations_test.cc
@@ -15,7 +15,7 @@
    "execution": "repeatable", "timeout_ms": 3000, "service": "s1",
    "maximum_attempts": 2}],
   "services": [{"name": "s1", "maximum_connections": 200}]})";
-// Several reporting routers, so that their observations count for ten seconds.
+// With several reporting routers, their observations count for ten seconds.
 constexpr int kReportingRouters = 3;
 constexpr int kRouters = 7;
 constexpr Duration kLimit = seconds(30);
@@ -41,8 +41,8 @@
   fleet.AddBackend("b", "s1");
   const std::size_t before = shedding.Targets().size();
   for (int router = kReportingRouters; router < kRouters; ++router) {
-    // Until the router has discovered the second backend, it can only use the
-    // shedding one.
+    // Until the router has discovered the second backend, the router can only
+    // use the shedding one.
     REQUIRE(lab::WaitFor(kLimit, [&] {
       return fleet.RouterMetric(router, "juniperway_router_backends") == 2;
     }));
--- a/test/integration/forwarding/tenants_test.cc
+++ b/test/integration/forwarding/tenants_test.cc
@@ -170,7 +170,7 @@
   REQUIRE(fleet.PutTable(Table(1, kLimited)) == 200);
   REQUIRE(AwaitWith(fleet, Key("b"), 200, 0));
   REQUIRE(AwaitWith(fleet, Key("b"), 200, 1));
-  // The limit grants one token every 1000 s, so that none is available.
+  // The limit grants one token every 1000 s, so none is available.
   const Tally none = Send(fleet, "a", 20);
   CHECK(none.served == 0);
   CHECK(none.over_limit == 20);
--- a/test/support/request_run_world.h
+++ b/test/support/request_run_world.h
@@ -23,9 +23,8 @@
 // Four shards with three backends each, whose ids are "s0-0" to "s3-2". Route
 // "r" is a scatter over all shards.
 struct World {
-  // @param slack, ratio the retry budget: it allows ratio x requests + slack
-  // extra
-  //   attempts.
+  // @param slack, ratio limits of the retry budget, which allows ratio x
+  //   requests + slack extra attempts.
   explicit World(double slack = 1000, double ratio = 0.2)
       : pool({.zone = "z",
               .regions = {},
--- a/test/unit/forwarding/adaptive_throttle_test.cc
+++ b/test/unit/forwarding/adaptive_throttle_test.cc
@@ -1,4 +1,4 @@
-// The share of requests that AdaptiveThrottle admits while backends are
+// Tests the share of requests that AdaptiveThrottle admits while backends are
 // overloaded.
 #include "common/forwarding/adaptive_throttle.h"
 
@@ -22,7 +22,7 @@
 };
 
 // Offers `per_second` evenly spaced requests to backends that accept the share
-// `capacity` of them and shed what is admitted beyond it.
+// `capacity` of them and shed the admitted requests beyond it.
 Count Offer(AdaptiveThrottle& throttle, MonotonicTime& now, Duration length,
             int per_second, double capacity) {
   Count count;
--- a/test/unit/forwarding/backend_pool_test.cc
+++ b/test/unit/forwarding/backend_pool_test.cc
@@ -1,4 +1,4 @@
-// Which backend BackendPool chooses for an attempt.
+// Tests which backend BackendPool chooses for an attempt.
 #include "common/forwarding/backend_pool.h"
 
 #include <doctest/doctest.h>
@@ -88,7 +88,7 @@
 }
 
 TEST_CASE("an unused backend has the typical latency of its service") {
-  // Many times the latency that the pool assumes of a service without answers.
+  // Many times the latency that the pool assumes for a service without answers.
   constexpr Duration kTypicalLatency = milliseconds(220);
   Pool pool;
   for (int i = 0; i < 10; ++i) {
@@ -172,7 +172,7 @@
   }
   pool.routers = 10;
   pool.pool.Update(pool.view, 10, pool.now);
-  // The share is 0.9 x 40 connections / 10 routers.
+  // A router's share is 0.9 x 40 connections / 10 routers.
   for (AttemptId attempt = 1; attempt <= 3; ++attempt) {
     CHECK(pool.Choose({"2", "3"}) == "1");
     pool.pool.OnSent("1", attempt, pool.now);
@@ -249,12 +249,12 @@
   };
   const std::size_t before = open();
   CHECK(before > 2);
-  // The share is 0.9 x 40 connections / 4 routers.
+  // A router's share is 0.9 x 40 connections / 4 routers.
   CHECK(before <= 9);
 }
 
-// Runs one request: sends it to another backend after each shed attempt while
-// the budget lasts.
+// Runs one request, and sends it to another backend after each shed attempt
+// while the budget lasts.
 // @param sheds whether this backend sheds this attempt.
 // @return false when no backend answered.
 template <typename Sheds>
@@ -278,8 +278,8 @@
 
 // Measures the failed requests of a service while two of its three backends
 // shed three of five requests. 64 routers share 110 requests per second, so
-// that each of them sends less than two per second, about as rarely as backoffs
-// end.
+// each of them sends less than two per second, and most backoffs end before its
+// next request.
 TEST_CASE(
     "the pool prefers a distant backend to near ones that shed requests") {
   Pool pool;
@@ -296,7 +296,7 @@
     });
     failed += answered ? 0 : 1;
   }
-  // Without a cost for failures 51 of 100 requests fail.
+  // Without a cost for failures, 51 of 100 requests fail.
   CHECK(failed <= 3);
   // The pool uses the near backends again once the failures have decayed.
   pool.now += seconds(60);
@@ -315,7 +315,8 @@
     }
     return taken;
   };
-  // A slack of 10 divided by 10 routers, then by 1.
+  // The slack of 10 is divided by 10 routers at first, and by 1 router after
+  // the window.
   CHECK(extra_after(seconds(1)) == 0);
   CHECK(extra_after(seconds(11)) == 9);
 }
@@ -328,8 +329,9 @@
 }
 
 TEST_CASE("a new process of a backend starts without observations") {
-  // The failures of the old process, and an attempt that it never ended, would
-  // keep the new one without requests for up to three seconds.
+  // The failures of the old process, and an attempt that the old process never
+  // ended, would otherwise keep requests from the new process for up to three
+  // seconds.
   Pool pool;
   pool.Add(Started("1", 10));
   for (int i = 0; i < 5; ++i) {
--- a/test/unit/forwarding/backend_pool_update_test.cc
+++ b/test/unit/forwarding/backend_pool_update_test.cc
@@ -1,5 +1,6 @@
-// A new view costs the pool work for the backends that differ, not for all of
-// them. Checked by counting, for fleets of 1000 and 10,000 backends.
+// Tests that BackendPool::Update processes only the backends that differ
+// between views. The tests count the processed backends, for fleets of 1000 and
+// 10,000 backends.
 #include <doctest/doctest.h>
 #include <malloc.h>
 
--- a/test/unit/forwarding/canary_test.cc
+++ b/test/unit/forwarding/canary_test.cc
@@ -1,5 +1,5 @@
-// Which requests go to the canaries of a rollout, and how their outcomes are
-// counted.
+// Tests which requests go to the canaries of a rollout, and how the pool counts
+// their outcomes.
 #include <doctest/doctest.h>
 
 #include <memory>
@@ -88,7 +88,8 @@
 TEST_CASE("canaries get their share of first attempts and no more") {
   Fleet fleet;
   const int canaries = fleet.RunRequests(1000);
-  // The mean is 100 and the standard deviation 9.5.
+  // The number of requests to canaries has a mean of 100 and a standard
+  // deviation of 9.5.
   CHECK(canaries > 60);
   CHECK(canaries < 140);
   fleet.view.rollouts["s"].share_permille = 1000;
--- a/test/unit/forwarding/client_timeout_estimator_test.cc
+++ b/test/unit/forwarding/client_timeout_estimator_test.cc
@@ -1,4 +1,5 @@
-// Estimates how long ago a client sent a request for the first time.
+// Tests the estimate of how long ago a client sent a request for the first
+// time.
 #include "common/forwarding/client_timeout_estimator.h"
 
 #include <doctest/doctest.h>
--- a/test/unit/forwarding/cold_allowance_test.cc
+++ b/test/unit/forwarding/cold_allowance_test.cc
@@ -1,4 +1,5 @@
-// All routers together stay below the request rate of a cold backend.
+// Tests that all routers together stay below the request rate of a cold
+// backend.
 #include "common/forwarding/cold_allowance.h"
 
 #include <doctest/doctest.h>
@@ -80,7 +81,7 @@
       }
       const std::size_t maximum = SendAtMaximumRate(views, "i-1", rate);
       CHECK(static_cast<double>(maximum) <= std::max(1.0, rate));
-      // The routers use most of the rate, as far as they try to send.
+      // The routers use most of the rate, unless they try to send less.
       const double attempted = count * 1000.0 / kMeanSendIntervalMs * 0.8;
       CHECK(static_cast<double>(maximum) >=
             std::min(std::floor(rate * 0.4), attempted));
--- a/test/unit/forwarding/connection_allowance_test.cc
+++ b/test/unit/forwarding/connection_allowance_test.cc
@@ -1,4 +1,4 @@
-// The number of connections that ConnectionAllowance allows at one backend.
+// Tests how many connections ConnectionAllowance allows at one backend.
 #include "common/forwarding/connection_allowance.h"
 
 #include <doctest/doctest.h>
--- a/test/unit/forwarding/extra_attempt_budget_test.cc
+++ b/test/unit/forwarding/extra_attempt_budget_test.cc
@@ -1,5 +1,5 @@
-// The budget for extra attempts: in any window a router sends at most ratio x
-// requests + its share of the slack.
+// Tests the budget for extra attempts: in any window a router sends at most
+// ratio x requests + its share of the slack.
 #include "common/forwarding/extra_attempt_budget.h"
 
 #include <doctest/doctest.h>
@@ -58,9 +58,9 @@
         (window.front().extra ? extra : requests) -= 1;
         window.pop_front();
       }
-      // The budget covers 1.1 windows. It may exceed the limit of this window
-      // alone if an earlier one had more requests, so this check is stricter
-      // than the guarantee.
+      // The budget covers 1.1 windows. An earlier window with more requests may
+      // allow more extra attempts than this window alone, so this check is
+      // stricter than the guarantee.
       CHECK(extra <= kLimits.ratio * requests * 1.1 + kLimits.slack / 6);
     }
   }
--- a/test/unit/forwarding/failure_rate_test.cc
+++ b/test/unit/forwarding/failure_rate_test.cc
@@ -1,4 +1,4 @@
-// The failure rate of recent attempts, and its decay.
+// Tests the failure rate of recent attempts and its decay.
 #include "common/forwarding/failure_rate.h"
 
 #include <doctest/doctest.h>
--- a/test/unit/forwarding/fingerprint_request_test.cc
+++ b/test/unit/forwarding/fingerprint_request_test.cc
@@ -34,7 +34,8 @@
       [](auto& request) { request.headers["host"] = "i.example"; },
       [](auto& request) { request.body = "d"; },
       [](auto& request) { request.headers["authorization"] = "Basic eA=="; },
-      // The same bytes, divided differently between target and body.
+      // This request has the same bytes, divided differently between target and
+      // body.
       [](auto& request) {
         request.target = "/a/bc";
         request.body = "";
--- a/test/unit/forwarding/idle_connections_test.cc
+++ b/test/unit/forwarding/idle_connections_test.cc
@@ -1,5 +1,5 @@
-// Estimates of the idle connections of a router, and their effect on the choice
-// of a backend.
+// Tests the estimate of the idle connections of a router, and its effect on the
+// choice of a backend.
 #include "common/forwarding/idle_connections.h"
 
 #include <doctest/doctest.h>
--- a/test/unit/forwarding/placement_test.cc
+++ b/test/unit/forwarding/placement_test.cc
@@ -1,5 +1,5 @@
-// Which backends a request may use: its home regions, evacuated zones and cold
-// backends, on every path that chooses a backend.
+// Tests which backends a request may use, given its home regions, evacuated
+// zones and cold backends, on every code path that chooses a backend.
 #include <doctest/doctest.h>
 
 #include <memory>
--- a/test/unit/forwarding/recent_latency_test.cc
+++ b/test/unit/forwarding/recent_latency_test.cc
@@ -1,4 +1,4 @@
-// The median of the latest latencies of a backend.
+// Tests the median of the latest latencies of a backend.
 #include "common/forwarding/recent_latency.h"
 
 #include <doctest/doctest.h>
@@ -34,7 +34,8 @@
 }
 
 TEST_CASE("with rare answers two of three slow samples change the median") {
-  // Too far apart for five samples within RecentLatency::kFrequentWindow.
+  // The interval is too long for five samples within
+  // RecentLatency::kFrequentWindow.
   constexpr Duration kInterval = milliseconds(500);
   RecentLatency latency;
   MonotonicTime now = kStart;
--- a/test/unit/forwarding/request_run_test.cc
+++ b/test/unit/forwarding/request_run_test.cc
@@ -39,7 +39,7 @@
   for (int shard = 1; shard < kShards; ++shard) {
     world.Answer(ShardName(shard));
   }
-  // The route allows no hedge, so that the next deadline is the answer's.
+  // The route allows no hedge, so the next deadline is that of the answer.
   world.now = run.NextDeadline();
   run.OnDeadline(world.now);
   const RunOptions options;
@@ -52,7 +52,8 @@
     "an overloaded router does not hedge, and does so once it has caught up") {
   World world;
   RequestRun& run = world.Start();
-  // The event loop processes the hedges late: there may be unread answers.
+  // The event loop processes the hedges late, so answers may have arrived that
+  // the router has not read.
   world.now = run.NextDeadline() + milliseconds(30);
   run.OnDeadline(world.now);
   CHECK(run.hedges() == 0);
@@ -244,7 +245,7 @@
   REQUIRE(world.sent.size() == 2);
   world.End(world.AttemptAt("s0"), AttemptResult::kUnsent);
   REQUIRE(world.sent.size() == 3);
-  // The third attempt arrived, so that a fourth one would need the budget.
+  // The third attempt arrived, so a fourth one would need the budget.
   world.End(world.AttemptAt("s0"), AttemptResult::kIncompleteAnswer);
   CHECK(world.sent.size() == 3);
   REQUIRE(run.outcome());
@@ -356,7 +357,8 @@
   }
 
  private:
-  // Larger than the attempt ids of the runs.
+  // First id of the occupying attempts. It is larger than the attempt ids of
+  // the runs.
   static constexpr AttemptId kFirstAttempt = 1'000'000'000;
 
   World& world_;
@@ -473,7 +475,8 @@
   };
   CHECK_FALSE(served_after(milliseconds(10), AttemptResult::kShed));
   CHECK(served_after(milliseconds(300), AttemptResult::kShed));
-  // The run is late for another reason, which fewer requests would not change.
+  // The run is late, but no backend shed an attempt: admitting fewer requests
+  // would not help.
   CHECK_FALSE(
       served_after(milliseconds(300), AttemptResult::kIncompleteAnswer));
 }
--- a/test/unit/forwarding/shared_observations_test.cc
+++ b/test/unit/forwarding/shared_observations_test.cc
@@ -53,7 +53,8 @@
       : relays_(kControlNodes), random_(1) {
     const auto view = MakeView();
     for (std::size_t router = 0; router < kRouters; ++router) {
-      // The share of each router is one extra attempt per shard and window.
+      // Each router's share of the slack is one extra attempt per shard and
+      // window.
       pools_.push_back(std::make_unique<BackendPool>(
           PoolOptions{.zone = "here",
                       .regions = {{"here", "r"}},
@@ -174,7 +175,7 @@
   }
   MESSAGE("share of shards answered: without shared observations "
           << answered[0] << ", with " << answered[1]);
-  // About 1 - 0.48 x 0.48 with one extra attempt.
+  // With one extra attempt, the expected share is about 1 - 0.48 x 0.48.
   CHECK(answered[0] < 0.85);
   CHECK(answered[1] > 0.95);
 }
--- a/test/unit/forwarding/split_chooser_test.cc
+++ b/test/unit/forwarding/split_chooser_test.cc
@@ -1,4 +1,5 @@
-// SplitChooser keeps the shares of a split route also over short windows.
+// Tests that SplitChooser keeps the shares of a split route also over short
+// windows.
 #include "common/forwarding/split_chooser.h"
 
 #include <doctest/doctest.h>
--- a/test/unit/forwarding/typical_latency_test.cc
+++ b/test/unit/forwarding/typical_latency_test.cc
@@ -1,4 +1,4 @@
-// The estimated typical latency of a service.
+// Tests the estimate of the typical latency of a service.
 #include "common/forwarding/typical_latency.h"
 
 #include <doctest/doctest.h>
