--- a/source/common/rollout/answer_counts.h
+++ b/source/common/rollout/answer_counts.h
@@ -22,14 +22,14 @@
 
 struct AnswerCounts {
   std::uint32_t failed = 0;
-  // Answers whose latency does not depend on the version: the backend was cold,
-  // or lies in another region.
+  // Number of answers whose latency does not depend on the version, because the
+  // backend was cold or lies in another region.
   std::uint32_t untimed = 0;
   std::array<std::uint32_t, kLatencySteps> timed{};
 
   std::uint32_t answered() const;
   std::uint32_t total() const { return failed + answered(); }
-  // Number of timed answers in this step or a higher one.
+  // Returns the number of timed answers in this step or a higher one.
   std::uint32_t CountFromStep(std::size_t step) const;
 
   AnswerCounts& operator+=(const AnswerCounts& other);
@@ -48,7 +48,7 @@
 };
 
 // A router's counts of one group since its process learned of the rollout. The
-// counts are totals, so that the next report makes up for a lost one.
+// counts are totals, so the next report makes up for a lost one.
 struct AnswerReport {
   AnswerGroup group;
   RolloutNumber rollout = 0;
--- a/source/common/rollout/answer_tally.h
+++ b/source/common/rollout/answer_tally.h
@@ -38,13 +38,15 @@
     return rollouts_.contains(service);
   }
 
-  // Does nothing unless the service has a running rollout.
+  // Counts an attempt if the service has a running rollout; otherwise does
+  // nothing.
   void Count(const AnswerGroup& group, const AttemptObservation& observation);
 
   // Returns the groups that changed since they were last reported, canaries
   // first. Groups beyond the maximum come with the next report.
   std::vector<AnswerReport> MakeReport();
-  // Makes the next reports contain all groups again, for a new leader.
+  // Makes the next reports contain all groups again, for a new leader, which
+  // has no counts.
   void ReportAllAgain();
   // Whether canaries have answered since the last report.
   bool has_new_canary_answers() const { return has_new_canary_answers_; }
--- a/source/common/rollout/canary_allowance.h
+++ b/source/common/rollout/canary_allowance.h
@@ -4,12 +4,12 @@
 //
 // The router draws each request independently with the canaries' share. Over
 // all routers, the canaries get share x all requests on average, with a
-// standard deviation of at most the square root of that number. This does not
-// depend on how many routers share the requests, nor on which daemons are
-// partitioned, paused or restarted. A router that counted requests would send
-// its first canary request only after 1 / share of them; in a fleet of a
-// thousand routers that each see one request in 17 s, a rollout of minutes
-// would send none.
+// standard deviation of at most the square root of that number. This
+// distribution does not depend on how many routers share the requests, nor on
+// which daemons are partitioned, paused or restarted. A router that counted
+// requests would send its first canary request only after 1 / share of them; in
+// a fleet of a thousand routers that each see one request in 17 s, a rollout of
+// minutes would send none.
 //
 // A router holds a share above the base share only under a lease. Without a
 // leader nobody evaluates the answers, so bad canaries would keep the larger
@@ -24,13 +24,13 @@
 
 namespace juniperway::rollout {
 
-// How long a router may use a share above the base share, counted from when it
-// sent the heartbeat that the leader answered. Shorter than the time without a
-// leader: an election begins at the earliest one second after the leader is
-// lost.
+// How long a router may use a share above the base share, counted from the time
+// when the router sent the heartbeat that the leader answered. The lease is
+// shorter than the time in which the fleet has no leader after a leader crash,
+// because an election begins one second after the crash at the earliest.
 inline constexpr Duration kShareLease = milliseconds(800);
-// Interval between heartbeats of a router that uses such a share. A lease spans
-// two further heartbeats, so it survives the loss of one.
+// Interval between heartbeats of a router that uses a share above the base
+// share. A lease spans two further heartbeats, so it survives the loss of one.
 inline constexpr Duration kShareRenewalInterval = milliseconds(300);
 
 class CanaryAllowance {
@@ -39,10 +39,11 @@
     share_ = permille;
     base_share_ = base_permille;
   }
-  // The share that the rollout orders, in thousandths.
+  // Returns the share that the rollout orders, in thousandths.
   std::uint32_t share() const { return share_; }
 
-  // Extends the lease on the share; an earlier end has no effect.
+  // Extends the lease on the share to `until`; has no effect if the lease
+  // already ends later.
   void Renew(MonotonicTime until) {
     renewed_until_ = std::max(renewed_until_, until);
   }
@@ -53,7 +54,7 @@
 
   // Draws whether a request goes to the canaries. The router calls it once per
   // request, before the first attempt.
-  // @param random uniformly distributed.
+  // @param random a uniformly distributed number.
   void DrawRequest(std::uint64_t random, MonotonicTime now) {
     drawn_ = random % kWholePermille < ShareAt(now);
   }
--- a/source/common/rollout/rollout.h
+++ b/source/common/rollout/rollout.h
@@ -14,7 +14,7 @@
 
 namespace juniperway::rollout {
 
-// Identifies one rollout. Numbers grow with each rollout of the fleet.
+// Identifies one rollout. Each new rollout in the fleet gets a higher number.
 using RolloutNumber = std::uint64_t;
 
 enum class RolloutState : std::uint8_t {
@@ -28,12 +28,14 @@
 // How large a share of the service's requests the canaries get while the
 // rollout is running.
 enum class RolloutPhase : std::uint8_t {
-  // A share so small that a bad version stays within the exposure limit.
+  // The canaries get so small a share that a bad version stays within the
+  // exposure limit.
   kObserving = 0,
-  // A larger share, which reveals faults that appear only under load.
+  // The canaries get a larger share of the requests, which reveals faults that
+  // appear only under load.
   kWidening = 1,
-  // Nearly all first attempts. The baseline version keeps enough requests to
-  // measure its latency for the comparison.
+  // The canaries get the first attempt of nearly all requests. The baseline
+  // version keeps enough requests to measure its latency for the comparison.
   kFull = 2,
   // The replaced versions get no new requests, but their backends still run and
   // finish the requests in flight.
@@ -41,14 +43,14 @@
 };
 
 inline constexpr std::uint32_t kWholePermille = 1000;
-// Share of the canaries in the phase kFull. The remaining 100 per mille must
-// show within half a second whether answers of the baseline version have become
-// slower too.
+// Share of the requests that goes to the canaries in the phase kFull. The
+// remaining 100 per mille go to the baseline version and must show within half
+// a second whether its answers have become slower too.
 inline constexpr std::uint32_t kFullPermille = 900;
 
-// Bounds how many requests the fleet may send to a bad version, summed over all
-// routers, from the order to the end of the rollout's duration: share x
-// requests + slack.
+// Bounds how many requests the fleet may send to a bad version: share x
+// requests + slack. Both numbers of requests are sums over all routers from the
+// order to the end of the rollout's duration.
 struct ExposureLimit {
   // Share of all requests that reach the service.
   double share = 0.1;
@@ -74,7 +76,7 @@
   std::uint64_t answers_before_phase = 0;
   // Share of each router's requests that goes to the canaries, in thousandths.
   std::uint32_t share_permille = 0;
-  // Share that a router uses while no leader renews its lease on
+  // Share that a router uses while no leader renews the router's lease on
   // share_permille, in thousandths (canary_allowance.h).
   std::uint32_t base_share_permille = 0;
   // Revision of the control state in which the rollout last changed.
--- a/source/common/rollout/rollout_judge.cc
+++ b/source/common/rollout/rollout_judge.cc
@@ -5,14 +5,15 @@
 namespace juniperway::rollout {
 namespace {
 
-// Routers report answers of the baseline version with their heartbeats, so at
-// most one heartbeat interval later than answers of canaries
-// (session::SessionTiming).
+// Routers report answers of the baseline version with their heartbeats. The
+// leader therefore receives these answers at most one heartbeat interval
+// (session::SessionTiming) later than answers of canaries.
 constexpr Duration kBaselineReportDelay = seconds(1);
 
-// While the canaries get a small share, the evaluation waits until all routers
-// have reported the same second. In later phases each second of waiting would
-// use up a large part of the exposure limit.
+// While the canaries get a small share, the leader evaluates an answer only
+// after all routers have reported their answers of the same second. In later
+// phases each second of waiting would use up a large part of the exposure
+// limit.
 VersionComparison::EvaluationRule EvaluationRuleOf(RolloutPhase phase) {
   switch (phase) {
     case RolloutPhase::kObserving:
--- a/source/common/rollout/rollout_judge.h
+++ b/source/common/rollout/rollout_judge.h
@@ -1,7 +1,8 @@
 // Evaluates all running rollouts on the leader: collects the routers' reports
-// about canaries and baseline, and decides the next step of each rollout. The
-// control node's LeaderRole owns it. The reports are soft state: routers send
-// all of them again to a new leader. Does no I/O: time is an argument.
+// about the canaries and the baseline version, and decides the next step of
+// each rollout. The control node's LeaderRole owns it. The reports are soft
+// state: routers send all of them again to a new leader. Does no I/O: time is
+// an argument.
 #pragma once
 
 #include <functional>
@@ -80,12 +81,14 @@
   // The state of one running rollout on this leader.
   struct Evaluation {
     RolloutNumber number = 0;
-    // Time passed is measured with this node's monotonic clock; the time before
-    // this node became leader is taken from the wall clocks.
+    // The time since then is measured with this control node's monotonic clock.
+    // The time before this control node became leader (elapsed_before) is taken
+    // from the wall clocks.
     MonotonicTime evaluated_since;
     Duration elapsed_before{};
     RolloutPhase phase = RolloutPhase::kObserving;
-    // When enough routers had confirmed the phase; max() while they have not.
+    // When enough routers had confirmed the phase; max() while too few routers
+    // have confirmed it.
     MonotonicTime phase_confirmed_since = MonotonicTime::max();
     // Whether most routers have reported all of their counts.
     bool most_reported = false;
--- a/source/common/rollout/rollout_plan.cc
+++ b/source/common/rollout/rollout_plan.cc
@@ -10,14 +10,15 @@
 
 // Share of the exposure limit's share that the phase kObserving uses.
 constexpr double kObservingLimitShare = 0.75;
-// The canaries' share in the phase kWidening. To find a fault that appears
-// under this load takes about 25 requests, plus those sent during the half
-// second until all routers know the verdict.
+// The canaries' share in the phase kWidening. The leader finds a fault that
+// appears under this load after about 25 requests; routers send more during the
+// half second until all of them know the verdict.
 constexpr std::uint32_t kWideningPermille = 300;
-// For a service with few requests, the canaries must have answered one in this
-// many of them.
+// For a service with few requests, the canaries must have given at least one in
+// this many of all answers since the rollout was ordered.
 constexpr std::uint64_t kMinimumAnswersDivisor = 8;
-// Number of answers needed to find a version that fails in a third of them.
+// Number of canary answers after which the comparison finds a version that
+// fails in a third of its answers.
 constexpr double kDetectionAnswers = 25;
 constexpr Duration kNotificationDelay = milliseconds(500);
 // Share of the remaining exposure limit that a phase may use; the rest covers
@@ -26,12 +27,12 @@
 // Share of the rollout's duration that one phase takes.
 constexpr double kPhaseDurationShare = kFullAfterShare - kWidenAfterShare;
 
-// Number of canary answers that allows the largest shares without a check
-// against the exposure limit.
+// Number of canary answers from which on the canaries may get the largest
+// shares without a check against the exposure limit.
 constexpr std::uint64_t kSufficientAnswers = 2 * kMinimumAnswers;
 
-// A phase with a larger share of canaries, and the number of canary answers
-// that it requires.
+// A phase in which the canaries get a larger share of the requests, and the
+// number of canary answers that the phase requires.
 struct Promotion {
   RolloutPhase phase;
   std::uint32_t permille;
@@ -86,25 +87,25 @@
          std::max(ToSeconds(facts.elapsed), 1.0);
 }
 
-// Whether a phase with this share of canaries stays within the remaining
-// exposure limit even if the version is bad.
+// Whether a phase in which the canaries get this share of the requests stays
+// within the remaining exposure limit even if the version is bad.
 bool FitsExposureLimit(const Rollout& rollout, const RolloutFacts& facts,
                        const ExposureLimit& limit,
                        std::uint32_t share_permille) {
   const double exposed_rate =
       RequestRate(facts) * share_permille / kWholePermille;
   const double phase = kPhaseDurationShare * ToSeconds(rollout.duration);
-  // Requests that a bad version gets: those of the whole phase, or those until
-  // the fault is found and all routers know the verdict.
+  // A bad version gets the canaries' requests of the whole phase, or only those
+  // until the fault is found and all routers know the verdict.
   const double exposed = std::min(
       exposed_rate * phase,
       kDetectionAnswers + exposed_rate * ToSeconds(kNotificationDelay));
   return exposed <= UsableExposure(facts, limit);
 }
 
-// Whether sending all requests to the canaries until the end of the rollout's
-// duration stays within the limit, even if no fault is found: a complete
-// rollout is not rolled back.
+// Whether the exposure limit covers a bad version that gets all requests until
+// the end of the rollout's duration. The limit must cover all of them because a
+// complete rollout is not rolled back, whatever fault appears later.
 bool FitsExposureLimitToTheEnd(const Rollout& rollout,
                                const RolloutFacts& facts,
                                const ExposureLimit& limit) {
@@ -139,8 +140,9 @@
 }
 
 // Whether the phase has lasted long enough for routers to report its answers.
-// If answers arrived after the phase began, routers used its share, so a new
-// leader counts the time from the step and not from its own start.
+// Enough canary answers since the phase began show that routers have used the
+// share of the phase. A new leader then counts the time from the beginning of
+// the phase and not from the start of its own term.
 bool HasLasted(const Rollout& rollout, const RolloutFacts& facts) {
   const Duration minimum =
       BoundByDurationShare(rollout, kMinimumPhaseDuration, kMinimumPhaseShare);
@@ -158,7 +160,7 @@
   return rollout.phase == RolloutPhase::kReplacing && too_few_requests;
 }
 
-// Whether the routers have confirmed the phase and its answers allow a next
+// Whether the routers have confirmed the phase and its answers allow the next
 // step.
 bool IsReadyForStep(const Rollout& rollout, const RolloutFacts& facts) {
   return facts.change_confirmed &&
@@ -254,7 +256,7 @@
   if (rollout.phase != RolloutPhase::kReplacing &&
       IsPast(rollout, facts, kRollBackAfterShare) &&
       !MayFinishLate(rollout, facts, limit)) {
-    return RollBack(rollout, "the canaries could not be evaluated in time");
+    return RollBack(rollout, "it could not be judged in time");
   }
   return std::nullopt;
 }
--- a/source/common/rollout/rollout_plan.h
+++ b/source/common/rollout/rollout_plan.h
@@ -18,7 +18,7 @@
 
 namespace juniperway::rollout {
 
-// What NextStep decides from.
+// The facts from which NextStep decides.
 struct RolloutFacts {
   // Time since the rollout was ordered.
   Duration elapsed{};
@@ -59,16 +59,15 @@
   bool operator==(const RolloutStep&) const = default;
 };
 
-// Shares of the rollout's duration after which the next phase may begin. The
-// time after the last one is left for the replaced versions to finish their
-// requests.
+// Shares of the rollout's duration after which the next phase may begin. In the
+// time after the last share, the replaced versions finish their requests.
 inline constexpr double kWidenAfterShare = 0.45;
 inline constexpr double kFullAfterShare = 0.6;
 inline constexpr double kReplaceAfterShare = 0.75;
-// After this share a single canary answer is enough, if the exposure limit has
-// capacity for all remaining requests. Otherwise one in 1,000 good versions of
-// services with 2 requests per second, which may see no second request for 4 s,
-// would be rolled back.
+// After this share of the duration a single canary answer is enough if the
+// exposure limit has capacity for all remaining requests. Otherwise one in
+// 1,000 good versions of services with 2 requests per second, which may see no
+// second request for 4 s, would be rolled back.
 inline constexpr double kReplaceWithFewAnswersAfterShare = 0.85;
 // A rollout without enough answers is rolled back after this share of its
 // duration.
@@ -77,11 +76,11 @@
 // can delay its steps, but is rolled back after this multiple of its duration.
 inline constexpr double kRollBackLateAfterShare = 1.5;
 // Relative scores from which on the rollout waits for more answers before its
-// next step. With the bound 1/3, 4 of 100 good versions would not be evaluated
-// in time when both versions fail in 30 % of their answers for four seconds;
-// with 2/3 none. The lower bound applies before canaries get nearly all
-// requests and before they replace the baseline; without it a version with a
-// fault on one route, in 6 of 100 answers, would be promoted.
+// next step. When both versions fail in 30 % of their answers for four seconds,
+// the bound 1/3 would leave 4 of 100 good versions without an evaluation in
+// time; the bound 2/3 leaves none. The lower bound applies before canaries get
+// nearly all requests and before they replace the baseline; without it a
+// version with a fault on one route, in 6 of 100 answers, would be promoted.
 inline constexpr double kMaximumScoreForStep = 2.0 / 3;
 inline constexpr double kMaximumScoreBeforeFull = 1.0 / 3;
 // Number of canary answers needed to evaluate a version. A version that fails
@@ -107,7 +106,8 @@
 std::uint32_t ObservingShare(const ExposureLimit& limit);
 
 // Whether routers may use a share above the base share: this leader has
-// received the answers so far, and their score is below the bound.
+// received the counts of the answers so far, the canaries do no worse than the
+// baseline version, and their score is below kMaximumScoreForStep.
 bool MayRenewShare(const Rollout& rollout, const RolloutFacts& facts);
 
 // Returns the step that is due, or nothing if the rollout stays as it is.
--- a/source/common/rollout/version_comparison.cc
+++ b/source/common/rollout/version_comparison.cc
@@ -7,13 +7,15 @@
 namespace juniperway::rollout {
 namespace {
 
-// With fewer answers of the baseline version the slow step is unknown.
+// Minimum number of baseline answers; with fewer answers the slow step is
+// unknown.
 constexpr double kMinimumBaselineAnswers = 5;
 // Quantile of the baseline version's latencies that slow answers are measured
 // against.
 constexpr double kBaselineQuantile = 0.75;
-// An upper bound below 1, so that canaries can still do worse; a service with a
-// larger share of bad answers is down.
+// Upper bound of the share of bad answers that canaries may have. It is below
+// 1, so that canaries can still do worse. A service with a larger share of bad
+// answers is down.
 constexpr double kMaximumBaselineShare = 0.75;
 
 AnswerCounts Difference(const AnswerCounts& newer, const AnswerCounts& older) {
@@ -29,7 +31,7 @@
   return difference;
 }
 
-// How many time slots are kept for comparison.
+// Number of time slots that are kept for comparison.
 constexpr std::int64_t kRetainedTimeSlots = 8;
 
 // Returns the share of bad answers that canaries may have if the baseline
@@ -145,7 +147,7 @@
     return std::nullopt;
   }
   // Laplace's rule of succession: a share that is estimated from few answers is
-  // not taken for zero.
+  // never zero.
   const double share = (count.bad + 1) / (count.total + 2);
   return std::max(AllowedShare(share), AllowedBadShare(Badness::kSlow));
 }
--- a/source/common/rollout/version_comparison.h
+++ b/source/common/rollout/version_comparison.h
@@ -44,7 +44,7 @@
   std::uint64_t canary_bad = 0;
   std::uint64_t baseline_answers = 0;
   double baseline_bad_share = 0;
-  // Highest cumulative sum of all routes.
+  // Highest cumulative sum among the single routes and all routes together.
   double score = 0;
   // Number of witnesses: routers that reported bad canary answers which count
   // in that sum.
@@ -54,8 +54,8 @@
 class VersionComparison {
  public:
   // The cumulative sum that gives a verdict. A version as good as the baseline
-  // reaches it once in 1e5 answers: one false alarm in some 500 rollouts of 200
-  // answers each.
+  // reaches this sum once in 1e5 answers, which is one false alarm in some 500
+  // rollouts of 200 answers each.
   static constexpr double kScoreLimit = 11.5;
   // The increase in the share of bad answers that the test is designed to
   // detect.
@@ -63,22 +63,24 @@
   // Lower bound of the baseline's share of bad answers: in a version without
   // faults 1 in 50 answers is slow, for example because its backend pauses.
   static constexpr double kMinimumBaselineShare = 0.02;
-  // Factor on the baseline's share of bad answers, which is estimated from few
-  // answers.
+  // Factor by which the baseline's share of bad answers is raised, because this
+  // share is estimated from few answers.
   static constexpr double kBaselineShareMargin = 1.5;
-  // An answer is slow if its latency lies this many steps of half an octave
-  // above the 75 % quantile of the baseline: 2 to 2.8 times as long. Four times
-  // as much work makes an answer some 3.5 times slower; a new connection, which
-  // takes 6 ms, makes answers with 4 to 11 ms of work only 1.5 to 2.2 times
-  // slower.
+  // An answer is slow if its latency step (LatencyStepOf) is at least this many
+  // steps above the step of the baseline's 75 % quantile. Two steps double the
+  // latency, and the quantile lies anywhere in its step, so an answer counts as
+  // slow from 2 to 2.8 times the quantile on. Four times as much work makes an
+  // answer some 3.5 times slower; a new connection, which takes 6 ms, makes
+  // answers with 4 to 11 ms of work only 1.5 to 2.2 times slower.
   static constexpr std::size_t kSlowerSteps = 3;
   // Decay time of the baseline's statistics.
   static constexpr Duration kDecayTime = seconds(4);
-  // Decay time of the second, shorter statistics, whose share of bad answers,
-  // less one standard deviation, applies if it is higher. When both versions
-  // begin to fail alike, the canaries' failures are reported at once, while the
-  // long-term statistics follow only slowly; without the short ones 4 of 1,000
-  // good versions would be rolled back.
+  // Decay time of the second, short-term statistics of the baseline. Their
+  // share of bad answers, less one standard deviation, replaces the long-term
+  // share if it is higher. When both versions begin to fail alike, the
+  // canaries' failures are reported at once, while the long-term statistics
+  // follow only slowly; without the short-term ones 4 of 1,000 good versions
+  // would be rolled back.
   static constexpr Duration kShortDecayTime = seconds(1);
   // Minimum number of witnesses (routers that reported bad canary answers) for
   // a verdict, so that one router or one network path between a router and its
@@ -91,18 +93,20 @@
   static constexpr Duration kTimeSlotReportDelay = 2 * kTimeSlot;
 
   // Adds what is new in a router's report.
-  // @param incarnation a restarted router counts from zero again.
+  // @param incarnation identifies the run of the router's process; a restarted
+  //   router has another one and counts from zero again.
   void OnReport(const std::string& router, std::uint64_t incarnation,
                 const AnswerReport& report, MonotonicTime now);
 
-  // How long after their report canary answers are evaluated. Baseline answers
-  // of the same moment are reported up to a second later. Without the delay, a
-  // fault that affects both versions looks like a fault of the canaries, and 3
-  // of 1,000 good versions would be rolled back.
+  // Says how long after their report canary answers are evaluated. Routers
+  // report baseline answers of the same moment up to a second later. Without
+  // the delay, a fault that affects both versions looks like a fault of the
+  // canaries, and 3 of 1,000 good versions would be rolled back.
   struct EvaluationRule {
     Duration failures_after{};
-    // Empty: slow answers are not evaluated. While the baseline version gets no
-    // requests, there is nothing to compare with if all answers become slower.
+    // If empty, slow answers are not evaluated: while the baseline version gets
+    // no requests, the leader cannot tell whether only the canaries have become
+    // slower.
     std::optional<Duration> latencies_after;
     // Whether slow answers are compared only with baseline answers of adjacent
     // time slots.
@@ -110,8 +114,9 @@
   };
   void Evaluate(MonotonicTime now, const EvaluationRule& rule);
 
-  // The verdict: whether the canaries do worse.
-  // @param routers size of the fleet; a fleet of two needs only two witnesses.
+  // Whether the canaries do worse than the baseline: the verdict.
+  // @param routers number of routers in the fleet; a fleet of two routers needs
+  //   only two witnesses.
   bool IsWorse(std::size_t routers) const;
   // Returns the highest cumulative sum divided by kScoreLimit; at 1 it suffices
   // for a verdict.
@@ -183,8 +188,8 @@
     // Returns the share of bad answers that a version as good as the baseline
     // may have.
     double AllowedBadShare(Badness badness) const;
-    // Returns that share for slow answers around `time`; nothing if too few
-    // baseline answers are known.
+    // Returns the allowed share of slow answers around `time`; nothing if too
+    // few baseline answers are known.
     std::optional<double> SlowShareAround(MonotonicTime time) const;
   };
 
--- a/test/property/rollout/rollout_leases_test.cc
+++ b/test/property/rollout/rollout_leases_test.cc
@@ -1,6 +1,6 @@
-// Rollouts while leaders, routers and networks fail, for several request rates,
-// durations and fleet sizes. The leader knows what is in force from routers'
-// heartbeats only.
+// Tests rollouts while leaders, routers and networks fail, for several request
+// rates, durations and fleet sizes. The leader learns only from routers'
+// heartbeats which changes are in force.
 #include <doctest/doctest.h>
 
 #include <cstdint>
--- a/test/property/rollout/rollout_open_seeds_test.cc
+++ b/test/property/rollout/rollout_open_seeds_test.cc
@@ -1,6 +1,8 @@
-// Seeds that failed before: bad versions exceeded the limit while there was no
-// leader to evaluate them, and good versions of services with few requests were
-// rolled back or completed late. The checks are those of rollout_test.cc.
+// Guards against two failures under single seeds: a bad version exceeds the
+// exposure limit while repeated leader changes leave no leader to evaluate it,
+// and a good version of a service with few requests is rolled back or completed
+// late. Unlike rollout_seeds_test.cc, this test also checks the time of
+// completion. The checks are those of rollout_test.cc.
 #include <doctest/doctest.h>
 
 #include "property/rollout/rollout_world.h"
--- a/test/property/rollout/rollout_seeds_test.cc
+++ b/test/property/rollout/rollout_seeds_test.cc
@@ -1,5 +1,8 @@
-// Seeds that failed before: bad versions exceeded the limit, and good versions
-// were rolled back. The checks are those of rollout_test.cc.
+// Guards against two failures under single seeds: a bad version exceeds the
+// exposure limit because few answers show its fault or because leaders change
+// late in the rollout, and a good version is rolled back.
+// rollout_open_seeds_test.cc covers repeated leader changes and late
+// completion. The checks are those of rollout_test.cc.
 #include <doctest/doctest.h>
 
 #include <vector>
--- a/test/property/rollout/rollout_world.h
+++ b/test/property/rollout/rollout_world.h
@@ -45,7 +45,7 @@
   bool ignores_share = false;
   // Planted defect: routers keep a share that no leader renews.
   bool ignores_share_lease = false;
-  // The leader knows what is in force from routers' heartbeats only.
+  // The leader learns only from routers' heartbeats which changes are in force.
   bool leases = false;
 };
 
@@ -53,7 +53,8 @@
   rollout::RolloutState state = rollout::RolloutState::kRunning;
   // Time from the order to the end of the rollout.
   Duration decided_after{};
-  // Counted until the end of the rollout's duration.
+  // Requests to the service and to the canaries until the end of the rollout's
+  // duration.
   std::size_t requests = 0;
   std::size_t canary_requests = 0;
   // Canary requests that reachable routers sent more than kWorldRollbackBound
@@ -80,9 +81,9 @@
     rollout::CanaryAllowance allowance;
     rollout::AnswerTally tally;
     MonotonicTime next_report;
-    // Term of the leader that answered last.
+    // Term of the leader that last answered the router.
     std::uint64_t term = 0;
-    // The last heartbeat was refused or renewed no lease.
+    // Whether the last heartbeat was refused or renewed no lease.
     bool lease_refused = false;
     MonotonicTime lease_end = MonotonicTime::min();
     MonotonicTime partitioned_until = MonotonicTime::min();
@@ -115,7 +116,7 @@
   void InjectDaemonFaults();
   bool IsReachable(const Router& router) const;
   Duration MessageDelay();
-  // Delay of heartbeats without reports and of heartbeat answers.
+  // Returns the delay of a heartbeat without a report or of a heartbeat answer.
   Duration AnswerDelay();
   double DrawUniform();
 
--- a/test/unit/rollout/rollout_plan_test.cc
+++ b/test/unit/rollout/rollout_plan_test.cc
@@ -1,4 +1,4 @@
-// When a rollout enters its next phase, is complete or is rolled back.
+// Tests when a rollout enters its next phase, is complete or is rolled back.
 #include "common/rollout/rollout_plan.h"
 
 #include <doctest/doctest.h>
@@ -194,7 +194,7 @@
   const auto step = NextStep(rollout, facts, kLimit);
   REQUIRE(step);
   CHECK(step->state == RolloutState::kRolledBack);
-  CHECK(step->reason == "the canaries could not be evaluated in time");
+  CHECK(step->reason == "it could not be judged in time");
 }
 
 TEST_CASE("the rollout waits for answers only if there are requests") {
@@ -204,7 +204,7 @@
   facts.baseline_answers = 30;
   CHECK(NextStep(rollout, facts, kLimit));
   // At 500 requests per second, finding a fault costs more requests than the
-  // limit has left.
+  // remaining limit allows.
   facts.baseline_answers = 3000;
   facts.canary_answers = 19;
   facts.canary_backends = 1;
--- a/test/unit/rollout/version_comparison_test.cc
+++ b/test/unit/rollout/version_comparison_test.cc
@@ -1,4 +1,5 @@
-// Whether canaries are found to do worse than the baseline version.
+// Tests whether VersionComparison finds that canaries do worse than the
+// baseline version.
 #include "common/rollout/version_comparison.h"
 
 #include <doctest/doctest.h>
@@ -80,7 +81,8 @@
     CHECK(answers > 0);
     within_50 += answers <= 50 ? 1 : 0;
   }
-  // The 150 answers contain about 0.33 x 150 = 50 bad ones.
+  // The 150 answers contain about 0.33 x 150 = 50 bad ones. In 95 of the 100
+  // runs the first 50 answers, with about 17 bad ones, must suffice.
   CHECK(within_50 >= 95);
 }
 
@@ -107,7 +109,8 @@
     one_router.Add(0, true, true, {});
   }
   CHECK_FALSE(one_router.comparison.IsWorse(kRouters));
-  // A fleet of one router has no other witness.
+  // A fleet of one router has no other witness, so this router alone suffices
+  // for a verdict.
   CHECK(one_router.comparison.IsWorse(1));
 }
 
@@ -126,9 +129,10 @@
   CHECK(answers < 120);
 }
 
-// Seven canary answers fail within half a second and are reported at once. A
-// third of the baseline's answers in the same time fail too, but are reported
-// half a second later.
+// Returns whether the canaries are found worse if answers are evaluated this
+// long after their report. Seven canary answers fail within half a second and
+// are reported at once. A third of the baseline's answers in the same time fail
+// too, but are reported half a second later.
 bool IsWorseAfter(Duration delay) {
   VersionComparison comparison;
   MonotonicTime now{seconds(10)};
@@ -164,9 +168,11 @@
   CHECK_FALSE(IsWorseAfter(seconds(1)));
 }
 
-// Simulates 450 canary and 50 baseline answers per second, a third of the
-// canaries' slow for one second; each router reports every 0.2 s.
-// @param baseline_slow whether the baseline's answers are slow then as well.
+// Simulates 450 canary and 50 baseline answers per second. For one second, a
+// third of the canary answers are slow. Each router reports every 0.2 s.
+// Returns whether the canaries are found worse.
+// @param baseline_slow whether a third of the baseline answers are slow in the
+//   same second as well.
 bool IsWorseInBurst(bool baseline_slow) {
   VersionComparison comparison;
   std::mt19937_64 random(1);
