--- a/source/common/observation/observation_log.h
+++ b/source/common/observation/observation_log.h
@@ -1,10 +1,11 @@
 // Collects what one router reports about backends. The router's BackendPool
-// owns it. Does no I/O: time is an argument.
+// owns the log. Does no I/O: time is an argument.
 //
 // Within kObservationDecayTime a router reports a backend at most once as
-// failed and once as answered, however many attempts it sends there. So reports
-// grow with the number of failing backends and not with the request rate, and
-// one router with a broken link cannot outvote the others.
+// failed and once as answered, however many attempts it sends there. So the
+// size of the reports grows with the number of failing backends and not with
+// the request rate, and one router with a broken link cannot outvote the
+// others.
 #pragma once
 
 #include <cstddef>
@@ -23,8 +24,8 @@
 class ObservationLog {
  public:
   void OnFailed(BackendHash backend, MonotonicTime now);
-  // Records an answer. Callers pass only backends that other routers had
-  // failures at, so that healthy backends cause no reports.
+  // Records an answer. Callers pass only backends for which other routers have
+  // reported failures, so that healthy backends cause no reports.
   void OnAnswered(BackendHash backend, MonotonicTime now);
 
   bool has_pending() const { return !pending_.empty(); }
@@ -33,7 +34,7 @@
   BackendObservations Take(std::size_t maximum, MonotonicTime now);
 
  private:
-  // When this router last reported the backend; min(): never.
+  // Times when this router last reported the backend; min() if it never did.
   struct ReportTimes {
     MonotonicTime failed = MonotonicTime::min();
     MonotonicTime answered = MonotonicTime::min();
--- a/source/common/observation/observation_relay.h
+++ b/source/common/observation/observation_relay.h
@@ -1,7 +1,7 @@
 // Forwards observations of backends on one control node. The control node sends
 // what its daemons report to the other control nodes and to its daemons; what
 // other control nodes send goes to its daemons only. The control node's
-// ObservationExchange owns it. Does no I/O.
+// ObservationExchange owns the relay. Does no I/O.
 //
 // Traffic: all observations of one backend within kRelayInterval become one
 // entry of some 6 bytes, however many routers report it. A digest has at most
@@ -21,8 +21,8 @@
 
 namespace juniperway::observation {
 
-// Interval between two digests. Together with the router's own delay and the
-// network delays, all routers know of a failure within 0.35 s.
+// Interval between two digests. With this interval, the delay of the reporting
+// router and the network delays, all routers know of a failure within 0.35 s.
 inline constexpr Duration kRelayInterval = milliseconds(100);
 
 // Observations that wait to be sent, merged into one per backend, oldest first.
@@ -40,7 +40,7 @@
 
 class ObservationRelay {
  public:
-  // Adds a report from a daemon whose session ends at this control node.
+  // Adds a report from a daemon that has its session with this control node.
   void OnReport(const BackendObservations& observations);
   // Adds a digest from another control node.
   void OnDigest(const BackendObservations& observations);
--- a/source/common/observation/shared_failures.cc
+++ b/source/common/observation/shared_failures.cc
@@ -8,8 +8,8 @@
 namespace juniperway::observation {
 namespace {
 
-// A backend is removed once its decayed failure count is below this: one
-// failure report is removed after 18 s.
+// A backend is removed once its decayed failure count is below this value. A
+// backend with one failure report is removed after 18 s.
 constexpr double kNegligibleFailures = 0.1;
 
 }  // namespace
--- a/source/common/observation/shared_failures.h
+++ b/source/common/observation/shared_failures.h
@@ -1,6 +1,7 @@
 // The failures of backends that other routers have observed, as one router
-// knows them. The router's BackendPool owns it. Does no I/O: time is an
-// argument. It holds only backends for which some router reported a failure.
+// knows them. The router's BackendPool owns the only SharedFailures, which
+// contains only backends for which some router reported a failure. Does no I/O:
+// time is an argument.
 #pragma once
 
 #include <cstddef>
@@ -31,9 +32,10 @@
   bool HasFailures(BackendHash backend) const {
     return !rates_.empty() && rates_.contains(backend);
   }
-  // Returns the suspicion, the share of failures of the backend, or 0 if it is
-  // below this router's threshold. One answer is added to the counts, so that a
-  // single failure report gives a suspicion of one half.
+  // Returns the suspicion of the backend, which is its share of failures, or 0
+  // if this share is below the router's threshold. One successful answer is
+  // added to the counts, so a single failure report gives a suspicion of one
+  // half.
   double SuspicionOf(BackendHash backend, MonotonicTime now) const;
 
   std::size_t size() const { return rates_.size(); }
--- a/source/common/quota/fleet_rate.h
+++ b/source/common/quota/fleet_rate.h
@@ -11,7 +11,7 @@
 // tokens that do not fit with its next report.
 //
 // Bound. In any window W the fleet uses at most the sum of
-//   - the reserves that holders had at the begin of W,
+//   - the reserves that holders had at the beginning of W,
 //   - rate x W, which leases and the bucket bring in together,
 //   - the content of the bucket, which is at most its capacity,
 //   - the tokens in flight, rate x kMaximumGrantAge x kGrantHops.
@@ -45,8 +45,8 @@
   bool any() const { return pools > 0 || routers; }
 };
 
-// The account of one limit. RateGranter of the leader owns one for each key.
-// Rates are in tokens a second; a request takes one token.
+// The account of one limit. The leader's RateGranter owns one FleetRate for
+// each key. Rates are in tokens a second; a request takes one token.
 class FleetRate {
  public:
   // Maximum shares of the rate that are leased to all pools and to all routers.
@@ -64,9 +64,9 @@
   // second request that comes before the reserve is full again.
   static constexpr Duration kReserveTime = milliseconds(500);
   // A router with less demand, in requests a second, has no reserve and no
-  // leased rate. Its token would be idle for more than two seconds, and with 89
-  // routers that each see a tenant now and then, no token would remain for the
-  // other routers.
+  // leased rate. The token in its reserve would be idle for more than two
+  // seconds. If many routers (89, for example) each receive few requests of a
+  // tenant, their idle reserves would leave no token for the other routers.
   static constexpr double kMinimumReserveDemand = 0.5;
   // A pool's reserve is this number of tokens plus its demand over one second:
   // enough for two routers that request tokens at the same moment.
@@ -85,7 +85,7 @@
   void SetLimit(const RateLimit& limit, MonotonicTime now);
 
   // Answers the request of the holder `name`.
-  // @param number of the grant; see RateGrant.
+  // @param number the number of the grant; see RateGrant.
   RateGrant Grant(const std::string& name, const RateRequest& request,
                   std::uint64_t number, const UnknownHolders& unknown,
                   MonotonicTime now);
@@ -93,9 +93,10 @@
   // Removes a holder whose process has ended.
   void RemoveHolder(const std::string& name);
 
-  // Rate that the known holders may be using.
+  // Returns the rate that the known holders may be using.
   double LeasedRate() const;
-  // Maximum number of tokens that the known holders may have in reserve.
+  // Returns the maximum number of tokens that the known holders may have in
+  // reserve.
   double ReservedTokens() const;
   std::size_t holders() const { return holders_.size(); }
 
@@ -116,7 +117,7 @@
     // RateRequest::returned of the last report; nothing before the first one.
     std::optional<double> returned;
 
-    // Maximum over `outstanding`.
+    // Both return the maximum over `outstanding`.
     double rate() const;
     double stock() const;
   };
@@ -131,23 +132,26 @@
   void Advance(const UnknownHolders& unknown, MonotonicTime now);
   void Confirm(Holder& holder, const RateRequest& request,
                const UnknownHolders& unknown, MonotonicTime now) const;
-  // Sums over the known holders of a kind: pools or routers.
+  // Returns the rate and reserve that the known holders of a kind may have
+  // together. In this and the next functions, `pools` selects the kind: true
+  // for pools, false for routers.
   Held KnownHeld(bool pools) const;
   Held Wanted(bool pools) const;
-  // Maximum for all holders of a kind together.
+  // Returns the maximum rate and reserve for all holders of a kind together.
   Held MaximumOf(bool pools) const;
-  // Maximum that the unknown holders of a kind may have.
+  // Returns the maximum rate and reserve that the unknown holders of a kind may
+  // have together.
   Held UnknownHeld(bool pools, const UnknownHolders& unknown) const;
-  // The rate and reserve that the leader can grant to `holder` now.
+  // Returns the rate and reserve that the leader can grant to `holder` now.
   Held ShareOf(const Holder& holder, const UnknownHolders& unknown) const;
   // Puts the tokens that the holder returned into the bucket.
   void ReclaimReturned(Holder& holder, const RateRequest& request);
   std::uint32_t TakeTokens(std::uint32_t wanted);
   Duration WaitForToken() const;
   static double WantedReserve(const RateRequest& request, double demand);
-  // Maximum number of tokens in all reserves together.
+  // Returns the maximum number of tokens in all reserves together.
   double ReserveLimit() const;
-  // Maximum number of tokens in the bucket.
+  // Returns the maximum number of tokens in the bucket.
   double Capacity(const UnknownHolders& unknown) const;
 
   RateLimit limit_;
--- a/source/common/quota/rate_granter.cc
+++ b/source/common/quota/rate_granter.cc
@@ -60,7 +60,7 @@
   if (is_new || known->second == sender.incarnation) {
     return;
   }
-  // The earlier process has ended, and with it its leases.
+  // The holder's earlier process has ended, and its leases ended with it.
   known->second = sender.incarnation;
   for (auto& [key, rate] : rates_) {
     rate.RemoveHolder(sender.name);
@@ -81,8 +81,8 @@
 
 FleetRate& RateGranter::RateOf(const std::string& key, const RateLimit& limit,
                                MonotonicTime now) {
-  // No token of this key was granted since all holders are known, so the bucket
-  // has filled since then.
+  // No token of a new key has been granted since this leader came to know all
+  // holders, so the key's bucket has been filling since that time.
   const MonotonicTime since = std::min(known_since_, now);
   return rates_.try_emplace(key, limit, tolerance_, drift_, since)
       .first->second;
--- a/source/common/quota/rate_granter.h
+++ b/source/common/quota/rate_granter.h
@@ -29,13 +29,14 @@
   RateGranter(const RateTolerance& tolerance, double maximum_clock_drift)
       : tolerance_(tolerance), drift_(maximum_clock_drift) {}
 
-  // This control node leads in `term`. Earlier leaders may have sent grants
-  // until `now`.
+  // Begins to grant as the leader of `term`. Earlier leaders may have sent
+  // grants until `now`.
   // @param routers names of the routers in the membership.
   // @param pools names of the control nodes' pools.
   void Start(std::uint64_t term, std::set<std::string> routers,
              std::set<std::string> pools, MonotonicTime now);
-  // This control node no longer leads: drops what it knows about holders.
+  // Discards all knowledge of holders when this control node stops being the
+  // leader.
   void Stop();
 
   // Replaces all limits. A key without a limit gets no grants.
@@ -50,13 +51,14 @@
     std::uint64_t term = 0;
     bool is_pool = false;
   };
-  // The caller makes sure that this control node still leads and that the
-  // sender is a member. A pool gets a reserve of every key, so that the first
-  // request of each key finds a token nearby.
+  // Answers a report with grants of the requested keys. A pool also gets grants
+  // of the keys that it did not request, so that its control node has a token
+  // for the first request of each key. The caller must make sure that this
+  // control node still leads and that the sender is a member.
   std::vector<RateGrant> OnReport(const Sender& sender,
                                   const RateReport& report, MonotonicTime now);
 
-  // Holders that have not reported to this leader yet.
+  // Returns the holders that have not reported to this leader yet.
   UnknownHolders Unknown(MonotonicTime now) const;
   std::size_t keys() const { return rates_.size(); }
 
@@ -85,7 +87,7 @@
   std::set<std::string> unreported_pools_;
   // When all leases of earlier leaders have expired.
   MonotonicTime assumed_until_ = MonotonicTime::min();
-  // Since when this leader knows all holders.
+  // Time since which this leader knows all holders.
   MonotonicTime known_since_ = MonotonicTime::max();
 };
 
--- a/source/common/quota/rate_leases.h
+++ b/source/common/quota/rate_leases.h
@@ -22,10 +22,10 @@
   // heartbeat, so a router sends 4 KB/s: a fifth of the bandwidth that control
   // traffic may take on a daemon (21 KB/s).
   std::size_t maximum_requests = 64;
-  // A holder releases a key with less demand, in requests a second. A router
-  // releases a key about twelve seconds after its last single request. A pool
-  // keeps a key for about a minute, because it serves many routers, each of
-  // which requests a key rarely.
+  // A holder releases a key whose demand is below this value, in requests a
+  // second. A router releases a key about twelve seconds after its last single
+  // request. A pool keeps a key for about a minute, because it serves many
+  // routers, each of which requests a key rarely.
   double minimum_demand = 0.02;
 };
 inline constexpr HolderOptions kPoolOptions{
@@ -40,7 +40,7 @@
 
   // Time constant of the exponential decay of the demand.
   static constexpr Duration kDemandDecayTime = seconds(5);
-  // A request of the key came.
+  // Counts a request of the key in the holder's demand.
   void OnDemand(const std::string& key, MonotonicTime now);
   // Takes a token if there is one.
   // @return whether a token was taken.
@@ -50,24 +50,24 @@
   // Sets the number of requests that are queued for a token of the key.
   void SetQueued(const std::string& key, std::uint32_t waiting);
 
-  // True if requests are queued for the key or less than one token remains, so
-  // that the holder should send a report soon.
+  // Whether requests are queued for the key or less than one token remains; the
+  // holder should then send a report soon.
   bool NeedsTokens(const std::string& key, MonotonicTime now);
-  // Time until which the fleet has no token of the key, as the leader announced
-  // it; min() if the leader announced none.
+  // Returns the time until which, according to the leader, the fleet has no
+  // token of the key; min() if the leader announced no such time.
   MonotonicTime ExhaustedUntil(const std::string& key) const;
 
   RateReport MakeReport(MonotonicTime now);
   // Applies a grant. Ignores a lease, and returns its tokens to the leader, if
   // the grant arrives more than kMaximumGrantAge after the report. Grants of
   // pools (number 0) have tokens and no lease.
-  // @param term of the leader that made the grant.
-  // @param requested_at when the report was made that the grant answers.
+  // @param term the term of the leader that made the grant.
+  // @param requested_at the time of the report that the grant answers.
   // @return number of queued requests that get a token now.
   std::uint32_t OnGrant(const RateGrant& grant, std::uint64_t term,
                         MonotonicTime requested_at, MonotonicTime now);
 
-  // State of the lease of one key, for the log.
+  // The state of the lease of one key, for the log.
   struct LeaseState {
     std::uint64_t grant = 0;
     double rate = 0;
--- a/source/common/quota/rate_limit.h
+++ b/source/common/quota/rate_limit.h
@@ -29,13 +29,13 @@
 };
 
 // How long a holder uses a lease, counted from the report that requested it.
-// Shorter than the time that a router stays a member after its last heartbeat
-// (4 s of lease and 2 s until it is removed, control/lease_table.h), so that
-// only members hold leases.
+// This is shorter than the time for which a router stays a member after its
+// last heartbeat (4 s of lease and 2 s until it is removed,
+// control/lease_table.h), so that only members hold leases.
 inline constexpr Duration kRateLeaseDuration = milliseconds(5500);
 // A holder uses the tokens of an answer only this long after it requested them,
-// because a delayed answer would add to later grants. Ten round trips between
-// regions (24 ms).
+// because the tokens of a delayed answer would add to those of later grants.
+// The value equals about ten round trips between regions (24 ms each).
 inline constexpr Duration kMaximumGrantAge = milliseconds(250);
 // Hops of a grant: from the leader to a pool, and from there to a router.
 inline constexpr int kGrantHops = 2;
--- a/source/common/quota/rate_messages.h
+++ b/source/common/quota/rate_messages.h
@@ -13,10 +13,10 @@
 // A holder's state and request for one key (a tenant).
 struct RateRequest {
   std::string key;
-  // The holder is a control node's pool, which passes tokens on to the routers
-  // near it.
+  // Whether the holder is a control node's pool, which passes tokens on to the
+  // routers near it.
   bool is_pool = false;
-  // Number of the last grant that the holder accepted; 0: none.
+  // Number of the last grant that the holder accepted; 0 if there is none.
   std::uint64_t held_grant = 0;
   // Leased rate, maximum reserve and remaining lease time of that grant, for a
   // leader that did not make the grant.
@@ -39,7 +39,7 @@
 // Everything that a holder reports in one heartbeat.
 struct RateReport {
   std::vector<RateRequest> requests;
-  // `requests` has every lease that the holder has.
+  // Whether `requests` contains every lease that the holder has.
   bool complete = true;
 };
 
@@ -49,14 +49,14 @@
 // The leader's answer for one key. It replaces the grant before it.
 struct RateGrant {
   std::string key;
-  // Increases with each grant, over all leaders. 0: tokens of a pool, which do
-  // not change the lease.
+  // Increases with each grant, also when the leader changes. The number 0 marks
+  // tokens that a pool grants; they do not change the lease.
   std::uint64_t number = 0;
   // Tokens a second that the holder's reserve gains while the lease lasts.
   double rate = 0;
   // Maximum number of tokens that the holder may have in reserve.
   double reserved_tokens = 0;
-  // Counted from the time of the holder's report.
+  // Duration of the lease, counted from the time of the holder's report.
   Duration lease{};
   // Tokens for the queued requests; the rest goes into the reserve.
   std::uint32_t tokens = 0;
--- a/test/property/quota/quota_test.cc
+++ b/test/property/quota/quota_test.cc
@@ -41,7 +41,8 @@
   CHECK(total.leaders > seeds);
 }
 
-// Share of the requests within a limit that were not admitted, over all seeds.
+// Returns the share of the requests within a limit that were not admitted, over
+// all seeds.
 double RefusedShare(QuotaFault fault) {
   const std::uint64_t seeds = FromEnvironment("JUNIPERWAY_QUOTA_SEEDS", 20);
   std::size_t within = 0;
@@ -70,7 +71,7 @@
 
 // Uses few routers and large tenants, so that each router has enough demand for
 // leases of its own, and the slack is small compared with the limits.
-// @return the first seed that shows the defect; 0: none.
+// @return the first seed that shows the defect; 0 if no seed does.
 std::uint64_t FindDefect(QuotaDefect defect) {
   constexpr std::uint64_t kSeeds = 6;
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
--- a/test/property/quota/quota_world.cc
+++ b/test/property/quota/quota_world.cc
@@ -198,8 +198,8 @@
 void QuotaWorld::RecordSent(std::size_t index, Tenant& tenant) {
   ++report_.admitted;
   ++SpanOf(tenant).second;
-  // A process that pauses between TryTake and the sending sends after the
-  // pause.
+  // A router that pauses after TryTake and before it sends the request sends
+  // the request after the pause.
   const MonotonicTime sent = std::max(now_, routers_[index].paused_until);
   tenant.uses.push_back(sent);
 }
--- a/test/property/quota/quota_world.h
+++ b/test/property/quota/quota_world.h
@@ -74,7 +74,7 @@
   double maximum_use = 0;
 };
 
-// One simulation; the test owns it.
+// Runs one simulation. The test owns the QuotaWorld.
 class QuotaWorld {
  public:
   explicit QuotaWorld(const QuotaOptions& options);
@@ -150,12 +150,12 @@
   void HeartbeatTick(std::size_t index);
   void SendHeartbeat(std::size_t index);
   std::size_t PoolIndexOf(std::size_t router) const;
-  // A heartbeat arrives at the router's control node, which serves tokens of
+  // Handles a heartbeat at the router's control node, which serves tokens of
   // its pool and forwards the heartbeat to the leader.
   void OnHeartbeatAtPool(std::size_t index, std::uint64_t incarnation,
                          const std::shared_ptr<protocol::HeartbeatT>& heartbeat,
                          MonotonicTime requested_at);
-  // A heartbeat arrives at the leader.
+  // Handles a heartbeat at the leader.
   void OnHeartbeat(std::size_t index, std::uint64_t incarnation,
                    const protocol::HeartbeatT& heartbeat,
                    MonotonicTime requested_at);
@@ -166,9 +166,10 @@
   void OnReply(std::size_t index, std::uint64_t incarnation,
                const std::vector<quota::RateGrant>& grants, std::uint64_t term,
                MonotonicTime requested_at);
-  // Arrival time of a message sent now. A partition delays it.
-  // @param maximum_delay of the network path, one way.
-  // @param last arrival time of the message before; updated.
+  // Returns the arrival time of a message sent now. A network partition delays
+  // the message.
+  // @param maximum_delay the maximum one-way delay of the network path.
+  // @param last the arrival time of the previous message; updated.
   MonotonicTime Arrival(MonotonicTime partitioned_until, Duration maximum_delay,
                         MonotonicTime& last);
 
--- a/test/unit/observation/observation_log_test.cc
+++ b/test/unit/observation/observation_log_test.cc
@@ -1,4 +1,4 @@
-// What one router reports about backends, and how often.
+// Tests what one router reports about backends, and how often.
 #include "common/observation/observation_log.h"
 
 #include <doctest/doctest.h>
@@ -22,7 +22,7 @@
   CHECK_FALSE(log.has_pending());
 }
 
-TEST_CASE("a backend that keeps failing is reported again after kMemory") {
+TEST_CASE("a backend that keeps failing is reported again after 8 s") {
   ObservationLog log;
   log.OnFailed(7, kStart);
   log.OnFailed(7, kStart + kObservationDecayTime - microseconds(1));
--- a/test/unit/observation/observation_relay_test.cc
+++ b/test/unit/observation/observation_relay_test.cc
@@ -1,4 +1,4 @@
-// How many observations control nodes forward from their daemons.
+// Tests how many observations control nodes forward from their daemons.
 #include "common/observation/observation_relay.h"
 
 #include <doctest/doctest.h>
--- a/test/unit/observation/shared_failures_test.cc
+++ b/test/unit/observation/shared_failures_test.cc
@@ -1,4 +1,4 @@
-// When a router suspects a backend because of other routers' reports.
+// Tests when a router suspects a backend because of other routers' reports.
 #include "common/observation/shared_failures.h"
 
 #include <doctest/doctest.h>
@@ -38,7 +38,8 @@
   CHECK(suspecting.front() == 1000);
   CHECK(suspecting.back() == 0);
   for (std::size_t second = 1; second < suspecting.size(); ++second) {
-    // An even decrease would be a tenth per second.
+    // If the number of suspecting routers decreased evenly, a tenth of them
+    // would clear the suspicion each second.
     CHECK(suspecting[second - 1] - suspecting[second] <= 250);
   }
 }
--- a/test/unit/quota/fleet_rate_test.cc
+++ b/test/unit/quota/fleet_rate_test.cc
@@ -1,4 +1,5 @@
-// Grants of FleetRate with few and with many requests, and under a new leader.
+// Tests the grants of FleetRate with few and with many requests, and under a
+// new leader.
 #include "common/quota/fleet_rate.h"
 
 #include <doctest/doctest.h>
--- a/test/unit/quota/rate_leases_test.cc
+++ b/test/unit/quota/rate_leases_test.cc
@@ -1,4 +1,4 @@
-// RateLeases of a router and of a pool.
+// Tests RateLeases of a router and of a pool.
 #include "common/quota/rate_leases.h"
 
 #include <doctest/doctest.h>
@@ -19,7 +19,8 @@
           .wait = Duration(0)};
 }
 
-// The leases of a router with 2 tokens a second and a full reserve of 2.
+// Returns the leases of a router with 2 tokens a second and a full reserve of
+// 2.
 RateLeases Leased() {
   RateLeases leases;
   leases.OnDemand("t", kStart);
