--- a/source/common/observation/backend_observation.h
+++ b/source/common/observation/backend_observation.h
@@ -18,8 +18,8 @@
 namespace juniperway::observation {
 
 // Identifies one run of a backend's process in 4 bytes. Among 27,000 backends
-// 0.08 pairs have equal hashes on average; observations of one then count for
-// both.
+// 0.08 pairs have equal hashes on average; observations of one backend of such
+// a pair count for both.
 using BackendHash = std::uint32_t;
 
 // Returns the hash of a backend's process.
--- a/source/common/observation/observation_relay.h
+++ b/source/common/observation/observation_relay.h
@@ -1,7 +1,7 @@
-// Forwards observations of backends on one control node. The control node sends
-// what its daemons report to the other control nodes and to its daemons; what
-// other control nodes send goes to its daemons only. The control node's
-// ObservationExchange owns the relay. Does no I/O.
+// Forwards observations of backends on one control node. The control node
+// forwards reports of its daemons both to the other control nodes and to its
+// daemons. It forwards digests of other control nodes to its daemons only. The
+// control node's ObservationExchange owns the relay. Does no I/O.
 //
 // Traffic: all observations of one backend within kRelayInterval become one
 // entry of some 6 bytes, however many routers report it. A digest has at most
--- a/source/common/observation/shared_failures.h
+++ b/source/common/observation/shared_failures.h
@@ -15,11 +15,12 @@
 
 class SharedFailures {
  public:
-  // Bounds of the suspicion below which a backend is treated like any other.
-  // Each router draws its own threshold between them. Observations decay on all
-  // routers at the same time, so with one common threshold all routers would
-  // send requests to a suspected backend again at the same moment. With four
-  // fifths of the backends shedding, 10 to 30 % of the requests then failed.
+  // Bounds of the threshold: a router treats a backend whose suspicion is below
+  // the router's threshold like any other. Each router draws its own threshold
+  // between these bounds. Observations decay on all routers at the same time,
+  // so with one common threshold all routers would send requests to a suspected
+  // backend again at the same moment. With a common threshold and four fifths
+  // of the backends shedding, 10 to 30 % of the requests failed.
   static constexpr double kMinimumThreshold = 0.25;
   static constexpr double kMaximumThreshold = 0.45;
 
--- a/source/common/quota/fleet_rate.h
+++ b/source/common/quota/fleet_rate.h
@@ -7,8 +7,8 @@
 // holder that has demand gets its share, and uses it without a request to the
 // leader while the lease lasts, also while it is partitioned. The rest of the
 // rate fills one bucket here. From the bucket, holders get tokens for queued
-// requests and for their reserves. A holder whose reserve is full returns the
-// tokens that do not fit with its next report.
+// requests and for their reserves. With its next report, a holder whose reserve
+// is full returns the tokens that do not fit.
 //
 // Bound. In any window W the fleet uses at most the sum of
 //   - the reserves that holders had at the beginning of W,
@@ -37,9 +37,9 @@
 // Holders that an earlier leader may have leased to and that have not reported
 // to this leader yet.
 struct UnknownHolders {
-  // Number of pools.
+  // Number of such pools.
   std::size_t pools = 0;
-  // Whether there may be any such router.
+  // Whether any router may be such a holder.
   bool routers = false;
 
   bool any() const { return pools > 0 || routers; }
@@ -71,8 +71,9 @@
   // A pool's reserve is this number of tokens plus its demand over one second:
   // enough for two routers that request tokens at the same moment.
   static constexpr double kPoolBaseReserve = 2;
-  // Requests, over all routers, that took a token and had not been sent when
-  // the router's process paused. They are sent after the pause.
+  // Number of requests, over all routers, that may have taken a token and not
+  // been sent yet when the process of their router paused. The routers send
+  // these requests after the pause.
   static constexpr double kUnsentRequests = 2;
   // Maximum wait that the leader announces to a router. Limits of less than one
   // token in this time are rare.
@@ -136,6 +137,8 @@
   // together. In this and the next functions, `pools` selects the kind: true
   // for pools, false for routers.
   Held KnownHeld(bool pools) const;
+  // Returns the rate and reserve that the known holders of a kind want
+  // together.
   Held Wanted(bool pools) const;
   // Returns the maximum rate and reserve for all holders of a kind together.
   Held MaximumOf(bool pools) const;
--- a/source/common/quota/rate_granter.h
+++ b/source/common/quota/rate_granter.h
@@ -22,8 +22,9 @@
 // Limits by key; a key is the name of a tenant.
 using RateLimits = std::map<std::string, RateLimit>;
 
-// Grants rates and tokens of all keys. TenantQuotas of each control node owns
-// one, and uses it only while the node leads.
+// Grants rates and tokens of all keys. The TenantQuotas of each control node
+// owns one RateGranter, and uses the RateGranter only while the control node
+// leads.
 class RateGranter {
  public:
   RateGranter(const RateTolerance& tolerance, double maximum_clock_drift)
@@ -85,7 +86,7 @@
   // Holders that have not reported all their leases to this leader.
   std::set<std::string> unreported_routers_;
   std::set<std::string> unreported_pools_;
-  // When all leases of earlier leaders have expired.
+  // Time at which all leases of earlier leaders have expired.
   MonotonicTime assumed_until_ = MonotonicTime::min();
   // Time since which this leader knows all holders.
   MonotonicTime known_since_ = MonotonicTime::max();
--- a/source/common/quota/rate_leases.cc
+++ b/source/common/quota/rate_leases.cc
@@ -107,7 +107,7 @@
   request.queued_requests =
       entry.waiting - std::min(entry.waiting, requested_waiting);
   // Without a lease, the reserve is assumed to be one token; the leader bounds
-  // it.
+  // the reserve.
   const bool has_stock = now < entry.end && entry.stock > 0;
   const double stock = has_stock ? entry.stock : 1;
   const double room = std::floor(std::max(0.0, stock - entry.tokens));
--- a/source/common/quota/rate_leases.h
+++ b/source/common/quota/rate_leases.h
@@ -31,9 +31,9 @@
 inline constexpr HolderOptions kPoolOptions{
     .is_pool = true, .maximum_requests = 512, .minimum_demand = 1e-6};
 
-// The leases of one holder, for all keys. A router owns one for its tenants, a
-// control node owns one for its pool. Rates are in tokens a second; a request
-// takes one token.
+// The leases of one holder, for all keys. A router owns one RateLeases for its
+// tenants; a control node owns one for its pool. Rates are in tokens a second;
+// a request takes one token.
 class RateLeases {
  public:
   explicit RateLeases(const HolderOptions& options = {}) : options_(options) {}
@@ -58,9 +58,10 @@
   MonotonicTime ExhaustedUntil(const std::string& key) const;
 
   RateReport MakeReport(MonotonicTime now);
-  // Applies a grant. Ignores a lease, and returns its tokens to the leader, if
-  // the grant arrives more than kMaximumGrantAge after the report. Grants of
-  // pools (number 0) have tokens and no lease.
+  // Applies a grant. If the grant arrives more than kMaximumGrantAge after the
+  // report, or a later grant has been applied, the holder ignores the lease and
+  // returns the tokens of the grant to the leader. Grants of pools (number 0)
+  // have tokens and no lease.
   // @param term the term of the leader that made the grant.
   // @param requested_at the time of the report that the grant answers.
   // @return number of queued requests that get a token now.
--- a/source/common/quota/rate_limit.h
+++ b/source/common/quota/rate_limit.h
@@ -22,7 +22,7 @@
 // tolerance, routers cannot keep tokens in reserve.
 struct RateTolerance {
   Duration window = seconds(5);
-  // Share of the limit.
+  // Requests in excess of the limit, as a share of the limit.
   double overage = 0;
   // Requests.
   double slack = 0;
@@ -33,9 +33,10 @@
 // last heartbeat (4 s of lease and 2 s until it is removed,
 // control/lease_table.h), so that only members hold leases.
 inline constexpr Duration kRateLeaseDuration = milliseconds(5500);
-// A holder uses the tokens of an answer only this long after it requested them,
-// because the tokens of a delayed answer would add to those of later grants.
-// The value equals about ten round trips between regions (24 ms each).
+// A holder uses the tokens of an answer only this long after the holder
+// requested them, because the tokens of a delayed answer would add to those of
+// later grants. The value equals about ten round trips between regions (24 ms
+// each).
 inline constexpr Duration kMaximumGrantAge = milliseconds(250);
 // Hops of a grant: from the leader to a pool, and from there to a router.
 inline constexpr int kGrantHops = 2;
--- a/source/common/quota/rate_messages.h
+++ b/source/common/quota/rate_messages.h
@@ -46,7 +46,8 @@
 // Term of grants that a pool makes without the leader.
 inline constexpr std::uint64_t kPoolGrantTerm = 0;
 
-// The leader's answer for one key. It replaces the grant before it.
+// The leader's answer for one key. This grant replaces the holder's previous
+// grant of the key.
 struct RateGrant {
   std::string key;
   // Increases with each grant, also when the leader changes. The number 0 marks
--- a/source/common/rollout/canary_allowance.h
+++ b/source/common/rollout/canary_allowance.h
@@ -48,12 +48,12 @@
     renewed_until_ = std::max(renewed_until_, until);
   }
 
-  // Whether the ordered share is above the base share and no lease on it is in
-  // force.
+  // Whether the ordered share is above the base share and the router has no
+  // valid lease on the ordered share.
   bool IsLeaseExpired(MonotonicTime now) const { return ShareAt(now) < share_; }
 
-  // Draws whether a request goes to the canaries. The router calls it once per
-  // request, before the first attempt.
+  // Draws whether a request goes to the canaries. The router calls this
+  // function once per request, before the first attempt.
   // @param random a uniformly distributed number.
   void DrawRequest(std::uint64_t random, MonotonicTime now) {
     drawn_ = random % kWholePermille < ShareAt(now);
--- a/source/common/rollout/rollout_judge.cc
+++ b/source/common/rollout/rollout_judge.cc
@@ -36,8 +36,8 @@
 
 // Share of the routers that must have confirmed a phase, or have reported to a
 // new leader. If all routers were required, one partitioned router would block
-// the rollout until its lease expires: a third of the duration of a short
-// rollout.
+// the rollout until the router's lease expires, which takes a third of the
+// duration of a short rollout.
 constexpr double kMinimumRouterShare = 0.9;
 
 bool IsConfirmed(RolloutPhase phase, double confirmed_share) {
--- a/source/common/rollout/rollout_judge.h
+++ b/source/common/rollout/rollout_judge.h
@@ -1,8 +1,8 @@
 // Evaluates all running rollouts on the leader: collects the routers' reports
 // about the canaries and the baseline version, and decides the next step of
-// each rollout. The control node's LeaderRole owns it. The reports are soft
-// state: routers send all of them again to a new leader. Does no I/O: time is
-// an argument.
+// each rollout. The control node's LeaderRole owns the RolloutJudge. The
+// reports are soft state: routers send all of them again to a new leader. Does
+// no I/O: time is an argument.
 #pragma once
 
 #include <functional>
@@ -23,7 +23,7 @@
   std::string service;
   RolloutNumber rollout = 0;
   RolloutStep step;
-  // What the comparison had found when the step was decided.
+  // Evidence of the comparison at the time when the step was decided.
   Evidence evidence;
 };
 
--- a/source/common/rollout/rollout_plan.cc
+++ b/source/common/rollout/rollout_plan.cc
@@ -8,7 +8,8 @@
 namespace juniperway::rollout {
 namespace {
 
-// Share of the exposure limit's share that the phase kObserving uses.
+// The canaries' share in the phase kObserving, as a share of
+// ExposureLimit::share.
 constexpr double kObservingLimitShare = 0.75;
 // The canaries' share in the phase kWidening. The leader finds a fault that
 // appears under this load after about 25 requests; routers send more during the
@@ -103,9 +104,10 @@
   return exposed <= UsableExposure(facts, limit);
 }
 
-// Whether the exposure limit covers a bad version that gets all requests until
-// the end of the rollout's duration. The limit must cover all of them because a
-// complete rollout is not rolled back, whatever fault appears later.
+// Whether the remaining exposure limit covers a bad version that gets all
+// requests until the end of the rollout's duration. The limit must cover all of
+// them because a complete rollout is not rolled back, whatever fault appears
+// later.
 bool FitsExposureLimitToTheEnd(const Rollout& rollout,
                                const RolloutFacts& facts,
                                const ExposureLimit& limit) {
--- a/source/common/rollout/rollout_plan.h
+++ b/source/common/rollout/rollout_plan.h
@@ -73,7 +73,8 @@
 // duration.
 inline constexpr double kRollBackAfterShare = 0.95;
 // A rollout with enough good answers may be late, since several leader changes
-// can delay its steps, but is rolled back after this multiple of its duration.
+// can delay its steps, but the rollout is rolled back after this multiple of
+// its duration.
 inline constexpr double kRollBackLateAfterShare = 1.5;
 // Relative scores from which on the rollout waits for more answers before its
 // next step. When both versions fail in 30 % of their answers for four seconds,
@@ -87,18 +88,19 @@
 // in a third of its answers shows no failure in 20 answers with a probability
 // of 0.03 %.
 inline constexpr std::uint64_t kMinimumAnswers = 20;
-// How long a new leader waits for routers' reports before it takes a step.
-// Routers report once per second, so those that are still missing after this
-// time are partitioned.
+// How long a new leader waits for routers' reports before it takes a step,
+// bounded by a share of the rollout's duration. Routers report once per second,
+// so those that are still missing after this time are partitioned.
 inline constexpr Duration kReportTimeout = milliseconds(1500);
 inline constexpr double kReportTimeoutShare = 0.125;
 // Minimum duration of a confirmed phase, also after a leader change, so that
-// routers can report its answers.
+// routers can report the answers of the phase. It is bounded by a share of the
+// rollout's duration.
 inline constexpr Duration kMinimumPhaseDuration = seconds(1);
 inline constexpr double kMinimumPhaseShare = 0.08;
 // How long the rollout waits for requests in flight at the replaced versions,
-// bounded by a share of its duration. The wait ends early once all routers
-// report that none is in flight.
+// bounded by a share of the rollout's duration. The wait ends early once all
+// routers report that none is in flight.
 inline constexpr Duration kDrainTimeout = milliseconds(1500);
 inline constexpr double kDrainTimeoutShare = 0.125;
 
--- a/source/common/rollout/version_comparison.h
+++ b/source/common/rollout/version_comparison.h
@@ -1,6 +1,6 @@
-// Decides whether the canaries of one service do worse than the baseline
-// version, the backends that they are to replace, from the reports of all
-// routers. RolloutJudge owns one comparison per running rollout. Does no I/O:
+// Decides from the reports of all routers whether the canaries of one service
+// do worse than the backends of the baseline version, which the canaries are to
+// replace. RolloutJudge owns one comparison per running rollout. Does no I/O:
 // time is an argument.
 //
 // An answer is bad if it is a failure or several times slower than typical
@@ -38,7 +38,7 @@
 
 namespace juniperway::rollout {
 
-// What a comparison has found so far.
+// The evidence that a comparison has found so far.
 struct Evidence {
   std::uint64_t canary_answers = 0;
   std::uint64_t canary_bad = 0;
@@ -118,8 +118,8 @@
   // @param routers number of routers in the fleet; a fleet of two routers needs
   //   only two witnesses.
   bool IsWorse(std::size_t routers) const;
-  // Returns the highest cumulative sum divided by kScoreLimit; at 1 it suffices
-  // for a verdict.
+  // Returns the highest cumulative sum divided by kScoreLimit; a value of 1
+  // suffices for a verdict if there are enough witnesses.
   double RelativeScore() const { return WorstSum().score / kScoreLimit; }
   Evidence Describe() const;
 
@@ -163,7 +163,8 @@
   class BaselineTimeSlots {
    public:
     void Add(const AnswerCounts& counts, MonotonicTime now);
-    // Counts timed answers that were reported around `time`.
+    // Counts the timed answers that were reported around `time`, and among them
+    // the bad ones: those in slow_step or a higher step.
     BadCount CountAround(MonotonicTime time, std::size_t slow_step) const;
 
    private:
--- a/test/property/quota/quota_test.cc
+++ b/test/property/quota/quota_test.cc
@@ -1,5 +1,5 @@
-// A fleet of routers never exceeds its tenants' limits, whatever fails, and
-// refuses few requests within a limit. For longer runs set
+// Tests that a fleet of routers never exceeds its tenants' limits, whatever
+// fails, and refuses few requests within a limit. For longer runs set
 // JUNIPERWAY_QUOTA_SEEDS=1000 JUNIPERWAY_QUOTA_ROUTERS=300.
 #include <doctest/doctest.h>
 
--- a/test/property/quota/quota_world.cc
+++ b/test/property/quota/quota_world.cc
@@ -18,7 +18,8 @@
 // A router that no leader has answered for this long is no longer a member.
 constexpr Duration kMembershipTimeout = seconds(6);
 constexpr std::size_t kPools = 6;
-// Probability that a control node is partitioned, as a share of a router's.
+// Probability that a control node is partitioned, divided by the probability
+// that a router is.
 constexpr double kPoolPartitionShare = 0.9;
 constexpr Duration kPoolReportInterval = milliseconds(50);
 // Maximum one-way delays of messages within a zone and between
@@ -151,7 +152,8 @@
   std::size_t index =
       tenant.client_routers[std::uniform_int_distribution<std::size_t>(
           0, tenant.client_routers.size() - 1)(random_)];
-  // A retry, or a client whose router is down or paused.
+  // A retry goes to a randomly drawn router, and so does a request of a client
+  // whose router is down or paused.
   if (Chance(0.05) || !IsRunning(routers_[index])) {
     index = DrawRouter();
   }
--- a/test/property/quota/quota_world.h
+++ b/test/property/quota/quota_world.h
@@ -90,12 +90,14 @@
     double hot_factor = 1;
     // Routers that the tenant's clients use.
     std::vector<std::size_t> client_routers;
-    // Token bucket over all requests; it decides which are within the limit.
+    // Tokens in a reference bucket, which decides which of the tenant's
+    // requests are within the limit.
     double reference = 0;
     MonotonicTime reference_at;
-    // When admitted requests were sent.
+    // Times at which admitted requests were sent.
     std::vector<MonotonicTime> uses;
-    // By window: requests within the limit, and admitted requests.
+    // By window: the number of requests within the limit, and the number of
+    // admitted requests.
     std::map<std::int64_t, std::pair<std::size_t, std::size_t>> spans;
   };
   struct Router {
@@ -112,10 +114,10 @@
     // keeps the order of its messages.
     MonotonicTime last_to_leader = MonotonicTime::min();
     MonotonicTime last_to_router = MonotonicTime::min();
-    // When a leader last answered the router.
+    // Time at which a leader last answered the router.
     MonotonicTime answered = MonotonicTime::min();
   };
-  // Pool of one control node, where routers have their sessions.
+  // The pool of one control node, with which routers have their sessions.
   struct Pool {
     std::uint64_t incarnation = 1;
     std::unique_ptr<control::RatePool> tokens;
--- a/test/property/rollout/rollout_test.cc
+++ b/test/property/rollout/rollout_test.cc
@@ -1,7 +1,7 @@
-// A bad version gets no more requests than the exposure limit and is rolled
-// back, and a good version is completed, whatever daemons fail meanwhile. To
-// run more seeds or larger fleets, set JUNIPERWAY_ROLLOUT_SEEDS=1000 and
-// JUNIPERWAY_ROLLOUT_ROUTERS=300.
+// Tests that a bad version gets no more requests than the exposure limit and is
+// rolled back, and that a good version is completed, whatever daemons fail
+// meanwhile. To run more seeds or larger fleets, set
+// JUNIPERWAY_ROLLOUT_SEEDS=1000 and JUNIPERWAY_ROLLOUT_ROUTERS=300.
 #include <doctest/doctest.h>
 
 #include <algorithm>
--- a/test/property/rollout/rollout_world.cc
+++ b/test/property/rollout/rollout_world.cc
@@ -21,7 +21,8 @@
 // Canaries start when the rollout is ordered, and are listed after this delay.
 constexpr Duration kCanariesAfter = milliseconds(1800);
 constexpr Duration kWorkTime = milliseconds(11);
-// Backends of either version pause now and then; the pause delays one answer.
+// Share of the answers of either version that a pause of the backend delays by
+// kPause.
 constexpr double kPauseShare = 0.02;
 constexpr Duration kPause = milliseconds(200);
 constexpr double kUnderLoadPermille = 200;
@@ -355,7 +356,7 @@
   for (const rollout::ServiceStep& due :
        judge_.TakeSteps(rollouts_, fleet, now_)) {
     step_in_flight_ = true;
-    // The step is replicated first, then sent to all routers.
+    // The leader first replicates the step, and then sends it to all routers.
     Schedule(now_ + milliseconds(30), [this, step = due.step,
                                        answers = due.evidence.canary_answers] {
       step_in_flight_ = false;
--- a/test/unit/quota/fleet_rate_test.cc
+++ b/test/unit/quota/fleet_rate_test.cc
@@ -10,8 +10,8 @@
 namespace juniperway::quota {
 namespace {
 
-// 10 requests a second and a burst of 10; in five seconds 10 % and 20 requests
-// more.
+// The limit is 10 requests a second and a burst of 10. In five seconds the
+// tolerance allows 10 % and 20 requests more.
 constexpr RateLimit kLimit{.per_second = 10, .burst = 10};
 constexpr RateTolerance kTolerance{
     .window = seconds(5), .overage = 0.1, .slack = 20};
@@ -51,7 +51,8 @@
       rate.RequestGrant("r" + std::to_string(router), 1.0);
       CHECK(rate.rate.LeasedRate() <=
             FleetRate::kRoutersShare * kLimit.per_second + 1e-9);
-      // A third of 0.1 x (10 x 5 + 10) + 20 - 2 x 2.5 - 2.
+      // Routers may have a third of the tokens in reserve, whose maximum is 0.1
+      // x (10 x 5 + 10) + 20 - 2 x 2.5 - 2 = 19.
       CHECK(rate.rate.ReservedTokens() <= 19.0 / 3 + 1e-9);
     }
     rate.now += milliseconds(1000);
@@ -74,7 +75,7 @@
 TEST_CASE("queued requests get the tokens of the bucket") {
   Rate rate;
   rate.now += seconds(20);
-  // The bucket is full: the burst and the remainder of the tolerance.
+  // The full bucket holds the burst and the remainder of the tolerance.
   const RateGrant grant = rate.RequestGrant("a", 0, 1000);
   CHECK(grant.tokens == 29);
   CHECK(grant.wait > Duration(0));
@@ -153,7 +154,8 @@
   CHECK(rate.rate.LeasedRate() == 0);
 }
 
-// A new leader, to which one pool and some routers have not reported.
+// Holders unknown to a new leader to which one pool and some routers have not
+// reported.
 constexpr UnknownHolders kUnknown{.pools = 1, .routers = true};
 
 TEST_CASE("a new leader renews reported leases and grants no others") {
--- a/test/unit/quota/rate_leases_test.cc
+++ b/test/unit/quota/rate_leases_test.cc
@@ -132,7 +132,8 @@
 TEST_CASE("a key without demand is released and removed") {
   RateLeases leases = Leased();
   const MonotonicTime later = kStart + seconds(15);
-  // The lease has not expired, so the report has the key with no demand.
+  // This grant renews the lease, so the next report still contains the key,
+  // with a demand of zero.
   CHECK(leases.OnGrant(Grant(2, 2, 2, 0), 1, later, later) == 0);
   const RateReport report = leases.MakeReport(later);
   REQUIRE(report.requests.size() == 1);
@@ -152,7 +153,8 @@
   RateReport report = leases.MakeReport(kStart);
   CHECK(report.requests.size() == HolderOptions().maximum_requests);
   CHECK(report.requests.front().key == "t150");
-  // The keys left out have no lease.
+  // The keys that the report leaves out have no lease, so the report contains
+  // all leases.
   CHECK(report.complete);
 }
 
--- a/test/unit/rollout/answer_tally_test.cc
+++ b/test/unit/rollout/answer_tally_test.cc
@@ -1,4 +1,4 @@
-// Counting of attempts on a router, and its reports to the leader.
+// Tests how a router counts attempts and reports the counts to the leader.
 #include "common/rollout/answer_tally.h"
 
 #include <doctest/doctest.h>
--- a/test/unit/rollout/canary_allowance_test.cc
+++ b/test/unit/rollout/canary_allowance_test.cc
@@ -1,4 +1,4 @@
-// The share of requests that goes to canaries, for any number of routers.
+// Tests the share of requests that goes to canaries, for any number of routers.
 #include "common/rollout/canary_allowance.h"
 
 #include <doctest/doctest.h>
--- a/test/unit/rollout/rollout_judge_test.cc
+++ b/test/unit/rollout/rollout_judge_test.cc
@@ -1,4 +1,4 @@
-// The leader's evaluation of routers' reports in each phase.
+// Tests the leader's evaluation of routers' reports in each phase.
 #include "common/rollout/rollout_judge.h"
 
 #include <doctest/doctest.h>
@@ -51,7 +51,8 @@
   CHECK(IsRolledBack(RolloutPhase::kObserving));
   CHECK(IsRolledBack(RolloutPhase::kWidening));
   CHECK(IsRolledBack(RolloutPhase::kFull));
-  // In this phase the baseline version gets no requests to compare with.
+  // In the phase kReplacing the baseline version gets no requests, so there are
+  // no answers to compare with.
   CHECK_FALSE(IsRolledBack(RolloutPhase::kReplacing));
 }
 
@@ -81,7 +82,8 @@
 TEST_CASE("nine in ten routers allow each step except the last one") {
   CHECK_FALSE(TakesStep(RolloutPhase::kFull, 0.85));
   CHECK(TakesStep(RolloutPhase::kFull, 0.95));
-  // Otherwise the replaced backends would stop while a router still uses them.
+  // All routers must have confirmed the phase kReplacing; otherwise the
+  // replaced backends would stop while a router still uses them.
   CHECK_FALSE(TakesStep(RolloutPhase::kReplacing, 0.95));
   CHECK(TakesStep(RolloutPhase::kReplacing, 1));
 }
--- a/test/unit/rollout/version_comparison_test.cc
+++ b/test/unit/rollout/version_comparison_test.cc
@@ -12,12 +12,12 @@
 
 constexpr std::size_t kRouters = 10;
 
-// Evaluates all answers this long after they were reported.
+// Returns a rule that evaluates all answers this long after their report.
 constexpr VersionComparison::EvaluationRule EvaluateAfter(Duration delay) {
   return {.failures_after = delay, .latencies_after = delay};
 }
 
-// Routers that report each answer at once.
+// Simulates routers that report each answer at once.
 struct Reports {
   void Add(std::size_t router, bool canary, bool failed, Duration latency,
            const std::string& route = "r") {
