--- a/source/common/owner/backend_gate.h
+++ b/source/common/owner/backend_gate.h
@@ -108,10 +108,11 @@
     return Submit(id, deadline, 0, now);
   }
 
-  // The front no longer waits for `id`. Unknown ids are ignored.
+  // Cancels subquery `id`, for which the front no longer waits. Unknown ids are
+  // ignored.
   GateActions Cancel(SubqueryId id, MonotonicTime now);
 
-  // The HTTP exchange of a started search ended.
+  // Processes the end of the HTTP exchange of a started search.
   GateActions OnReply(SubqueryId id, const BackendReply& reply,
                       MonotonicTime now);
   GateActions OnCancelDone(MonotonicTime now);
@@ -136,20 +137,20 @@
   // end as kLost. The caller also closes the connections of cancels and probes.
   GateActions CloseAllConnections(MonotonicTime now);
 
-  // True if no subquery is queued and no connection is in use.
+  // Whether no subquery is queued and no connection is in use.
   bool idle() const { return queue_.empty() && connections() == 0; }
 
   std::uint32_t running() const {
     return static_cast<std::uint32_t>(running_.size());
   }
   std::size_t queued() const { return queue_.size(); }
-  // Connections in use: by searches, cancels and the probe, and those closed
-  // less than kClosePropagationDelay ago.
+  // Returns the number of connections in use: those of searches, cancels and
+  // the probe, and those closed less than kClosePropagationDelay ago.
   std::uint32_t connections() const {
     return taken_slots() + cancels_ + (probe_sent_ ? 1 : 0);
   }
-  // Concurrency limit at `now`: the least of slots, maximum connections,
-  // adaptive limit and slow start.
+  // Returns the concurrency limit at `now`: the minimum of the slots, the
+  // maximum connections, the adaptive limit and the slow start.
   std::uint32_t UsableSlots(MonotonicTime now) const;
   GateAccess access() const { return access_; }
   DrainSource drain_source() const { return drain_.source(); }
@@ -172,12 +173,12 @@
     MonotonicTime close_at;
   };
 
-  // The refusal for `id` while the gate admits no subquery at all; nothing
-  // while it admits subqueries.
+  // Returns the refusal of `id` while the gate admits no subquery at all, or
+  // nothing while the gate admits subqueries.
   std::optional<GateAction> RefusalForAll(SubqueryId id,
                                           MonotonicTime now) const;
-  // Slots of running searches, and of those whose connection was closed less
-  // than kClosePropagationDelay ago.
+  // Returns the number of slots taken by running searches and by searches whose
+  // connection was closed less than kClosePropagationDelay ago.
   std::uint32_t taken_slots() const {
     return running() + static_cast<std::uint32_t>(closed_until_.size());
   }
--- a/source/common/owner/backend_health.h
+++ b/source/common/owner/backend_health.h
@@ -31,8 +31,9 @@
 using RequiredShards = std::map<resources::IndexVersion, std::set<std::string>>;
 
 // The index versions at which a backend holds all its shards. The owner keeps
-// one for each of its backends. An answer to a search (served, or refused as
-// not held) takes precedence over health for kAnswerPrecedenceWindow.
+// one HeldVersions for each of its backends. An answer to a search (served, or
+// refused as not held) takes precedence over health for
+// kAnswerPrecedenceWindow.
 class HeldVersions {
  public:
   static constexpr Duration kAnswerPrecedenceWindow = seconds(5);
@@ -46,8 +47,9 @@
   void OnHealth(const HealthReport& report, const RequiredShards& required,
                 MonotonicTime now);
 
-  // The backend served a search at `version` (`held`), or refused it because it
-  // does not hold the version.
+  // Processes an answer to a search at `version`.
+  // @param held true if the backend served the search, false if the backend
+  //   refused the search because it does not hold the version.
   void OnAnswer(resources::IndexVersion version, bool held, MonotonicTime now);
 
   const std::set<resources::IndexVersion>& held() const { return held_; }
--- a/source/common/owner/circuit_breaker.h
+++ b/source/common/owner/circuit_breaker.h
@@ -21,15 +21,16 @@
   // @param seed of the jitter.
   explicit CircuitBreaker(std::uint64_t seed);
 
-  // False closes the breaker and keeps it closed, because too large a share of
-  // the replicas would be ejected otherwise.
+  // Sets whether the breaker may open. `false` closes the breaker and keeps it
+  // closed, because too large a share of the replicas would be ejected
+  // otherwise.
   void SetMayOpen(bool may_open);
 
-  // The backend answered, with any status.
+  // Records that the backend answered, with any status.
   void OnAnswer();
 
-  // The connection could not be opened or broke, or no answer came before the
-  // deadline.
+  // Records that the connection could not be opened or broke, or that no answer
+  // came before the deadline.
   void OnFailure(MonotonicTime now);
 
   // Ends the current backoff, because the backend answered a probe.
--- a/source/common/owner/concurrency_limit.h
+++ b/source/common/owner/concurrency_limit.h
@@ -17,13 +17,14 @@
 
   void SetSlots(std::uint32_t slots);
 
-  // The backend shed a subquery although at most `limit()` were running.
+  // Records that the backend shed a subquery although at most `limit()`
+  // subqueries were running.
   // @param started when the subquery was sent. Sheds of subqueries that were
   //   sent before the last decrease come from the same overload and do not
   //   decrease the limit again.
   void OnShed(MonotonicTime started, MonotonicTime now);
 
-  // The backend served a subquery.
+  // Records that the backend served a subquery.
   void OnServed();
 
   std::uint32_t limit() const { return static_cast<std::uint32_t>(limit_); }
--- a/source/common/owner/drain_state.h
+++ b/source/common/owner/drain_state.h
@@ -1,5 +1,6 @@
-// Decides whether a backend drains, from sources that lag and may be wrong.
-// No I/O.
+// Decides whether a backend drains. The sources are the operator, the platform,
+// the answers to searches and the health endpoint; they lag and may be wrong.
+// The code does no I/O.
 #pragma once
 
 #include <optional>
@@ -9,8 +10,8 @@
 
 namespace juniperway::owner {
 
-// Which source says that the backend drains; after kNone, the most reliable
-// first.
+// Source that reports that the backend drains. After kNone, the sources are
+// ordered from the most to the least reliable.
 enum class DrainSource { kNone, kOperator, kPlatform, kAnswer, kHealth };
 
 std::string_view DrainSourceName(DrainSource source);
@@ -38,11 +39,11 @@
   // health.
   void SetReported(bool draining, MonotonicTime now);
 
-  // The backend answered a search.
+  // Processes an answer of the backend to a search.
   // @param draining whether the answer has X-Draining.
   void OnAnswer(bool draining, MonotonicTime now);
 
-  // The health endpoint answered a probe sent at `sent`.
+  // Processes the health endpoint's answer to a probe sent at `sent`.
   void OnHealth(bool draining, MonotonicTime sent, MonotonicTime now);
 
   DrainSource source() const;
--- a/source/common/owner/fair_queue.h
+++ b/source/common/owner/fair_queue.h
@@ -39,9 +39,9 @@
  public:
   static constexpr Duration kMaximumLead = milliseconds(50);
 
-  // One queued subquery. All deadlines are of one clock, so the shortest
-  // remaining time is the earliest deadline. Entries with equal deadlines are
-  // ordered by id.
+  // One queued subquery. All deadlines are read from the same clock, so the
+  // entry with the earliest deadline has the shortest remaining time. Entries
+  // with equal deadlines are ordered by id.
   struct Entry {
     MonotonicTime deadline;
     SubqueryId id = 0;
@@ -50,14 +50,16 @@
   };
   using Entries = std::set<Entry>;
 
-  // @param weights of the classes, by index; not empty, none 0.
+  // @param weights weight of each class, by class index. There must be at least
+  //   one weight, and no weight may be 0.
   explicit FairQueue(const std::vector<std::uint32_t>& weights);
 
-  // Queued subqueries stay in the queue. Classes beyond the last count as the
-  // first.
+  // Replaces the weights. Queued subqueries stay in the queue; those of a class
+  // beyond the last one count as subqueries of the first class.
   void SetWeights(const std::vector<std::uint32_t>& weights);
 
   void Insert(SubqueryId id, MonotonicTime deadline, ClassIndex class_index);
+  // Removes subquery `id` from the queue.
   // @return false if `id` is not queued.
   bool Remove(SubqueryId id);
 
@@ -67,16 +69,16 @@
   // Charges the class of a subquery that TakeNext returned and that started.
   // @param slot_time expected time of one subquery divided by the slots.
   void Charge(SubqueryId id, Duration slot_time, MonotonicTime now);
-  // The caller refused the subquery that TakeNext returned: its class is not
-  // charged.
+  // Releases a subquery that TakeNext returned and that the caller refused,
+  // without a charge to the subquery's class.
   void ReleaseUncharged(SubqueryId id) { taken_.erase(id); }
 
-  // The subquery to shed when the queue is full: the one with the longest
-  // remaining time in the class with the most queued subqueries relative to its
-  // weight. The queue must not be empty.
+  // Returns the subquery to shed when the queue is full: the subquery with the
+  // longest remaining time in the class that has the most queued subqueries
+  // relative to the weight of the class. The queue must not be empty.
   Entry NextToShed() const;
-  // The queued subquery with the earliest deadline. The queue must not be
-  // empty.
+  // Returns the queued subquery with the earliest deadline. The queue must not
+  // be empty.
   Entry Earliest() const;
 
   // Queued subqueries of one class, and the share of the slots that the class
--- a/source/common/owner/ownership_tracker.h
+++ b/source/common/owner/ownership_tracker.h
@@ -43,16 +43,18 @@
   // Ignores views that are not newer than the newest one seen.
   Change OnView(const session::FleetViewPointer& view);
 
-  // ControlSession::ZoneReleasedRevision grew.
+  // Processes an increase of ControlSession::ZoneReleasedRevision.
   void OnZoneReleased(resources::Revision revision);
 
-  // ControlSession::InForceRevision grew.
+  // Processes an increase of ControlSession::InForceRevision.
   void OnInForce(resources::Revision revision);
 
-  // No search runs at `backend` any more and its connections are closed.
+  // Records that no search runs at `backend` any more and that the connections
+  // to `backend` are closed.
   void OnBackendReleased(const std::string& backend);
 
-  // The lease ended, and the owner has closed every connection.
+  // Ends all ownership, because the lease ended. The owner must have closed
+  // every connection before.
   void OnLeaseLost();
   void OnLeaseGained();
 
--- a/source/common/owner/service_time.h
+++ b/source/common/owner/service_time.h
@@ -10,11 +10,11 @@
 // that the gate refuses no subquery without an observation.
 class ServiceTimeEstimate {
  public:
-  // The backend answered a subquery after `elapsed`.
+  // Records that the backend answered a subquery after `elapsed`.
   void Observe(Duration elapsed);
 
-  // A subquery was abandoned after `elapsed`. Its service time is at least
-  // `elapsed`, so this call can only raise the mean.
+  // Records that a subquery was abandoned after `elapsed`. The subquery's
+  // service time is at least `elapsed`, so this call can only raise the mean.
   void ObserveAtLeast(Duration elapsed);
 
   Duration mean() const { return mean_; }
--- a/source/common/routing/backend_states.h
+++ b/source/common/routing/backend_states.h
@@ -29,27 +29,29 @@
   static constexpr Duration kDrainTimeToLive = seconds(10);
 
   // --- Observations ---
-  // A subquery was sent and is outstanding.
+  // Records that a subquery was sent and is outstanding.
   void OnSent(BackendId backend);
-  // The subquery was answered, lost or cancelled and is no longer outstanding.
+  // Records that a subquery was answered, lost or cancelled and is no longer
+  // outstanding.
   void OnAttemptEnded(BackendId backend);
-  // The owner reported `load` subqueries, running and queued, on a backend with
-  // `slots` slots.
+  // Records that the owner reported `load` subqueries, running and queued, on a
+  // backend with `slots` slots.
   void OnLoad(BackendId backend, std::uint32_t load, std::uint32_t slots,
               MonotonicTime now);
   // Adds a latency sample.
   void OnLatency(BackendId backend, Duration latency, MonotonicTime now);
-  // The backend returned rows: closes its breaker.
+  // Closes the breaker of the backend, because the backend returned rows.
   void OnSuccess(BackendId backend);
-  // The backend failed: the subquery was lost, or the backend was unreachable
-  // or unresponsive.
+  // Records a failure of the backend: the subquery was lost, or the backend was
+  // unreachable or unresponsive.
   void OnFailure(BackendId backend, MonotonicTime now);
-  // The backend refused a subquery because it is draining.
+  // Records that the backend refused a subquery because the backend is
+  // draining.
   void OnDraining(BackendId backend, MonotonicTime now);
-  // The front sent a probe that the backend's breaker admitted.
+  // Records that the front sent a probe that the backend's breaker admitted.
   void OnProbe(BackendId backend);
-  // The probe ended without a verdict on the backend. The breaker may admit
-  // another one.
+  // Records that the probe ended without evidence about the backend. The
+  // breaker may admit another probe.
   void OnProbeAbandoned(BackendId backend);
 
   // --- Queries ---
@@ -59,14 +61,17 @@
   Admission AdmissionOf(BackendId backend, MonotonicTime now) const;
   // Whether a result reported a drain within the last kDrainTimeToLive.
   bool IsDraining(BackendId backend, MonotonicTime now) const;
-  // When the breaker admits the next probe; 0 if the breaker never opened.
+  // Returns when the breaker admits the next probe; 0 if the breaker never
+  // opened.
   MonotonicTime EjectedUntil(BackendId backend) const;
-  // Expected time of one more subquery under the present load, in microseconds.
+  // Returns the expected time of one more subquery under the present load, in
+  // microseconds.
   double Cost(const ReplicaRoute& replica, MonotonicTime now) const;
-  // Expected latency without the load, in microseconds.
+  // Returns the expected latency without the load, in microseconds.
   double Latency(const ReplicaRoute& replica, MonotonicTime now) const;
-  // Estimated running and queued subqueries on the backend: the greater of the
-  // front's own outstanding ones and the aged report of the owner.
+  // Returns the estimated number of running and queued subqueries on the
+  // backend: the greater of the front's own outstanding ones and the aged
+  // report of the owner.
   double Load(BackendId backend, MonotonicTime now) const;
 
  private:
--- a/source/common/routing/latency_tracker.h
+++ b/source/common/routing/latency_tracker.h
@@ -25,9 +25,11 @@
   // Sum of the counts at which they are halved.
   static constexpr std::uint64_t kDecayThreshold = 8192;
 
-  // @param latency of an answered subquery, or the time that the front had
-  //   waited for an abandoned one. The wait is a lower bound of the latency;
-  //   without such samples the quantile would fall with each hedge that wins.
+  // Adds one sample.
+  // @param latency latency of an answered subquery, or the time that the front
+  //   had waited for an abandoned one. The wait is a lower bound of the
+  //   latency; without such samples the quantile would fall with each hedge
+  //   that wins.
   void Record(Duration latency);
 
   // @param quantile in [0, 1].
@@ -35,6 +37,7 @@
   std::optional<Duration> Quantile(double quantile) const;
 
  private:
+  // Number of histogram buckets:
   // ln(kMaximumLatency / kMinimumLatency) / ln(1.05), rounded up.
   static constexpr std::size_t kBuckets = 288;
 
--- a/source/common/routing/query_run.h
+++ b/source/common/routing/query_run.h
@@ -47,27 +47,28 @@
 
   // Sends the first subqueries. Called once.
   Actions Start(MonotonicTime now);
-  // Processes results that `owner` sent. Late, duplicate and foreign results
-  // are counted and discarded.
+  // Processes results that `owner` sent. QueryRun counts and discards late and
+  // duplicate results, and foreign ones, whose attempt does not exist or
+  // belongs to another owner; see ResultVerdict.
   Actions OnSubqueryResults(OwnerId owner, std::vector<OwnerResult> replies,
                             MonotonicTime now);
-  // The connection to `owner` was lost, and with it all outstanding attempts
-  // there.
+  // Handles the loss of the connection to `owner`: all outstanding attempts at
+  // `owner` are lost.
   Actions OnOwnerLost(OwnerId owner, OwnerConnectionLoss loss,
                       MonotonicTime now);
-  // The caller could not send a batch of the last actions: no byte of the batch
-  // left this process.
+  // Handles a batch of the last actions that the caller could not send: no byte
+  // of the batch left this process.
   Actions OnBatchUnsent(const Batch& batch, MonotonicTime now);
   // Sends due hedges and retries, and ends the query at its deadline.
   Actions OnTimer(MonotonicTime now);
-  // The client disconnected: abandons the query.
+  // Abandons the query, because the client disconnected.
   Actions OnClientGone(MonotonicTime now);
 
-  // When OnTimer must be called next. May be earlier than the next due action,
-  // never later.
+  // Returns when the caller must call OnTimer next. The time may be earlier
+  // than the next due action, never later.
   MonotonicTime next_timer() const { return next_timer_; }
   bool finished() const { return finished_; }
-  // How the admission limit counts the end of the query with `outcome`.
+  // Returns how the admission limit counts the end of the query with `outcome`.
   AdmissionLimit::LoadEvidence LoadEvidenceOf(
       const QueryOutcome& outcome) const;
   const QueryRequest& request() const { return request_; }
@@ -112,7 +113,7 @@
   // Creates the partition states of the requested range.
   void SplitByPartition();
   void SendFirstSubqueries(MonotonicTime now, Actions& actions);
-  // Why a first subquery was not sent.
+  // Returns why QueryRun did not send a first subquery.
   MissingReason ReasonUnsent(const PartitionState& partition,
                              MonotonicTime now) const;
   // Sets the hedge delay from the service's latency quantile.
@@ -139,7 +140,8 @@
   // Logs a new attempt and adds its subquery to a batch.
   void Record(PartitionState& partition, const ReplicaChoice& choice,
               SendKind kind, MonotonicTime now, Actions& actions);
-  // Time until the deadline minus the margin for the result's way back.
+  // Returns the time until the deadline minus a margin for the transfer of the
+  // result to the front.
   Duration RemainingTimeForOwner(MonotonicTime now) const;
   void Hedge(PartitionState& partition, MonotonicTime now, Actions& actions);
   void Resend(PartitionState& partition, MonotonicTime now, Actions& actions);
@@ -169,7 +171,8 @@
   void MarkMissing(PartitionState& partition, MissingReason reason);
 
   // --- End ---
-  // Restarts the query if that was requested, and ends it if its answer is due.
+  // Restarts the query if a restart is wanted, and ends the query if its answer
+  // is due.
   void RestartOrFinish(MonotonicTime now, Actions& actions);
   bool IsAnswerDue(MonotonicTime now) const;
   void Finish(MonotonicTime now, Actions& actions);
@@ -182,7 +185,8 @@
   void RecordUnansweredAttempt(const Attempt& attempt, MonotonicTime now);
   Answer MakeAnswer();
   Refusal MakeRefusal(MonotonicTime now);
-  // Adds a random half at most, so that clients do not retry at the same time.
+  // Returns `duration` plus a random addition of at most half of it, so that
+  // clients do not retry at the same time.
   Duration Jittered(Duration duration);
   // Moves the next timer to `time` if that is earlier.
   void ScheduleTimer(MonotonicTime time);
@@ -215,7 +219,8 @@
   Duration retry_after_hint_{};
   MonotonicTime next_timer_{};
   bool finished_ = false;
-  // Reused by each choice to avoid allocations.
+  // Scratch buffer for the backends that a choice of a replica excludes; kept
+  // between choices to avoid allocations.
   std::vector<BackendId> excluded_;
 };
 
--- a/source/common/routing/query_run_results.cc
+++ b/source/common/routing/query_run_results.cc
@@ -244,8 +244,8 @@
   return actions;
 }
 
-// The owner failed, which is no evidence about its backends, so that no backend
-// failure is recorded.
+// Handles the loss of an attempt by its owner. A failure of the owner is no
+// evidence about the backend, so QueryRun records no backend failure.
 void QueryRun::OnAttemptLost(AttemptId id, OwnerConnectionLoss loss,
                              MonotonicTime now, Actions& actions) {
   const Attempt attempt = attempt_log_.Get(id);
--- a/test/property/owner/chances.h
+++ b/test/property/owner/chances.h
@@ -12,7 +12,7 @@
  public:
   explicit RandomSource(std::uint64_t seed) : random_(seed) {}
 
-  // Uniform, both ends included.
+  // Draws a uniformly distributed value; both bounds are included.
   std::int64_t Between(std::int64_t low, std::int64_t high) {
     return std::uniform_int_distribution<std::int64_t>(low, high)(random_);
   }
--- a/test/property/owner/owner_history.cc
+++ b/test/property/owner/owner_history.cc
@@ -127,9 +127,10 @@
     CheckOrder(event, subquery);
   }
 
-  // Notes the queued subqueries with less remaining time than the started one.
-  // The gate may refuse them at the same time, so CheckPassedOver decides when
-  // they leave the queue: they must neither start nor stay queued any longer.
+  // Records the queued subqueries with less remaining time than the started
+  // one. The gate may refuse these subqueries at the same time, so
+  // CheckPassedOver decides when they leave the queue: they must neither start
+  // nor stay queued any longer.
   void CheckOrder(const Event& event, const Subquery& subquery) {
     for (const auto& [deadline, id] : waiting_[{event.owner, event.backend}]) {
       if (deadline >= subquery.deadline) {
--- a/test/property/owner/owner_history.h
+++ b/test/property/owner/owner_history.h
@@ -14,10 +14,10 @@
 namespace juniperway::owner::testing {
 
 enum class EventKind {
-  kSubmit,      // An owner got a subquery.
-  kStart,       // The owner sent the search: takes a slot and a connection.
+  kSubmit,      // An owner received a subquery.
+  kStart,       // The owner sent a search, which takes a slot and a connection.
   kEnd,         // The backend answered, or the connection was closed.
-  kResult,      // The front got the outcome.
+  kResult,      // The front received the outcome.
   kCallBegin,   // A cancel or a probe took a connection.
   kCallEnd,     // A cancel or a probe released its connection.
   kDrainKnown,  // A view told the owner that the backend drains.
@@ -31,9 +31,9 @@
   std::string owner;
   std::string backend;
   std::uint64_t id = 0;
-  // For kSubmit only.
+  // Set for kSubmit only.
   MonotonicTime deadline;
-  // For kResult only.
+  // Set for kResult only.
   protocol::SubqueryOutcome outcome = protocol::SubqueryOutcome::kShed;
 };
 
@@ -46,11 +46,12 @@
 
 // Result of CheckHistory.
 struct HistoryReport {
-  // One text for each violation of a guarantee.
+  // Contains one text for each violation of a guarantee.
   std::vector<std::string> violations;
   std::uint64_t starts = 0;
   std::uint64_t results = 0;
-  // Starts by another owner than the last one at the same backend.
+  // Number of searches whose owner is not the one that started the previous
+  // search at the same backend.
   std::uint64_t starts_after_owner_change = 0;
   std::uint64_t starts_with_all_slots_taken = 0;
   std::map<protocol::SubqueryOutcome, std::uint64_t> outcomes;
@@ -59,9 +60,9 @@
 // Checks that
 //  - all owners together never exceed a backend's slots and connections;
 //  - no search starts after its owner knows of a drain, at or after the
-//    deadline, or while one with less remaining time stays queued;
+//    deadline, or while a subquery with less remaining time stays queued;
 //  - each subquery has exactly one result;
-//  - a started search has no result that says not run, except kShed and
+//  - a started search has no result that means "not run", except kShed and
 //    kDraining, which the backend itself may answer.
 HistoryReport CheckHistory(const History& history,
                            const std::map<std::string, BackendLimits>& limits);
--- a/test/property/owner/owner_property_test.cc
+++ b/test/property/owner/owner_property_test.cc
@@ -1,5 +1,6 @@
 // Checks the guarantees of the owner tier over seeded histories of a whole
-// zone. Planted defects show that the checker detects violations.
+// zone. Further tests inject defects and verify that the checker detects the
+// violations that they cause.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -39,7 +40,7 @@
     lost_leases += world.lost_leases;
     skipped_views += world.skipped_views;
   }
-  // The runs contain the situations that they are meant to provoke.
+  // Each situation that the runs must provoke has occurred often enough.
   CHECK(total.starts > kSeeds * 1500);
   CHECK(total.starts_after_owner_change > kSeeds * 3);
   CHECK(total.starts_with_all_slots_taken > kSeeds * 100);
@@ -59,8 +60,8 @@
                     << lost_leases << ", skipped views " << skipped_views);
 }
 
-// True if the history of some seed has a violation whose text contains
-// `broken`.
+// Returns whether the history of at least one seed has a violation whose text
+// contains `broken`.
 bool Detects(PlantedDefect defect, const std::string& broken) {
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     const WorldResult world = RunWorld({.seed = seed, .defect = defect});
@@ -103,8 +104,9 @@
     history.erase(first(history, EventKind::kResult));
   }
   SUBCASE("an end that never came") {
+    // The checker counts the slot of the search as in use from then on, so
+    // later searches exceed the backend's slots.
     history.erase(first(history, EventKind::kEnd));
-    // The slot stays in use, so later searches exceed the remaining slots.
   }
   SUBCASE("a start after its deadline") {
     const auto start = first(history, EventKind::kStart);
--- a/test/property/owner/owner_world.cc
+++ b/test/property/owner/owner_world.cc
@@ -15,8 +15,8 @@
 
 constexpr Duration kHeartbeatInterval = milliseconds(50);
 constexpr Duration kControlInterval = milliseconds(2);
-// Time in which all open subqueries get their result; more than the longest
-// deadline (3 s).
+// Time at the end of a simulation in which all open subqueries get their
+// result. The value exceeds the longest deadline (3 s).
 constexpr Duration kSettleTime = seconds(4);
 
 class World {
@@ -29,12 +29,12 @@
  private:
   void DeclareBackends();
   void AddOwners();
-  // Periodic work of the control leader.
+  // Performs the periodic work of the control leader.
   void ControlTick();
   void ChangeSomething();
   void RemoveMember(const std::string& name);
   void DrainBackend(const std::string& name);
-  // Periodic work of one owner.
+  // Performs the periodic work of one owner.
   void OwnerTick(ZoneOwner& owner);
   void SendHeartbeat(ZoneOwner& owner);
   void FetchView(ZoneOwner& owner);
@@ -62,16 +62,16 @@
   timeline_.After(kControlInterval, [this] { ControlTick(); });
 }
 
-// Each change is reverted after a while. If changes toggled the state, half of
-// the members would be leaving and half of the backends draining at any time,
-// and few searches would run.
+// Makes one random change, which is reverted after a while. If changes toggled
+// the state, half of the members would be leaving and half of the backends
+// draining at any time, and few searches would run.
 void World::ChangeSomething() {
   if (random_.Percent(70)) {
     RemoveMember(DrawOwner());
   } else {
     DrainBackend(DrawBackend());
   }
-  // Often several changes within 3 ms, so that owners skip views.
+  // Often makes several changes within 3 ms, so that owners skip views.
   timeline_.After(
       random_.Percent(40) ? random_.Delay(0, 3) : random_.Delay(40, 600),
       [this] { ChangeSomething(); });
@@ -153,7 +153,7 @@
   timeline_.After(random_.Delay(1, 60), [this, &owner] { FetchView(owner); });
 }
 
-// Mostly the owner according to the newest view, sometimes any owner.
+// Returns mostly the owner according to the newest view, sometimes any owner.
 std::string World::DrawOwnerOf(const std::string& backend) {
   const auto* member = routing::OwnerOf(backend, kZone, control_.newest());
   return member != nullptr && random_.Percent(80) ? member->daemon_id
--- a/test/property/owner/owner_world.h
+++ b/test/property/owner/owner_world.h
@@ -1,7 +1,7 @@
 // Simulates a zone with several owners, some backends and a control leader
-// under virtual time. Drives OwnershipTracker and BackendGate through arrivals,
-// cancels, lost messages, lost leases and ownership changes, and records the
-// events. The same options give the same history.
+// under virtual time. The simulation drives OwnershipTracker and BackendGate
+// through arrivals, cancellations, lost messages, lost leases and ownership
+// changes, and records the events. The same options give the same history.
 #pragma once
 
 #include <cstdint>
@@ -12,7 +12,7 @@
 
 namespace juniperway::owner::testing {
 
-// Violations of a rule that the checker must detect.
+// Defects that the simulation injects; the checker must detect each of them.
 enum class PlantedDefect {
   kNone,
   // A new owner does not wait until the zone has released the revision.
@@ -35,7 +35,7 @@
   int owners = 3;
   int backends = 3;
   Duration length = seconds(8);
-  // Subqueries a second, over all owners.
+  // Subqueries that arrive per second at all owners together.
   int arrivals = 2000;
   PlantedDefect defect = PlantedDefect::kNone;
 };
--- a/test/property/owner/zone_control.h
+++ b/test/property/owner/zone_control.h
@@ -1,5 +1,5 @@
 // The control leader of a simulated zone: publishes views, grants leases and
-// computes the watermarks. Time is an argument.
+// computes the watermarks. Callers pass the time.
 #pragma once
 
 #include <functional>
@@ -22,7 +22,7 @@
   std::string owner;
   resources::Revision confirmed = 0;
   resources::Revision released = 0;
-  // The owner has a lease according to its own clock.
+  // Whether the owner has a lease according to its own clock.
   bool holds_lease = false;
 };
 
@@ -32,7 +32,8 @@
   // Makes the next view by applying `change` to a copy of the newest one.
   void Publish(const std::function<void(session::FleetView&)>& change);
 
-  // @return whether the sender's lease was granted or renewed.
+  // Grants or renews the sender's lease if the sender may have one.
+  // @return whether the lease was granted or renewed.
   bool OnHeartbeat(const Heartbeat& heartbeat, MonotonicTime now);
 
   // Ends expired leases, removes members that have had no lease for some time,
--- a/test/property/owner/zone_owner.h
+++ b/test/property/owner/zone_owner.h
@@ -27,8 +27,8 @@
   PlantedDefect defect = PlantedDefect::kNone;
 };
 
-// One owner. The simulation owns it; the members of ZoneContext outlive
-// it.
+// One owner of the zone. The simulation holds the ZoneOwner; the objects that
+// ZoneContext refers to outlive the ZoneOwner.
 class ZoneOwner {
  public:
   ZoneOwner(std::string name, const session::FleetView& view,
@@ -36,7 +36,8 @@
 
   Heartbeat MakeHeartbeat();
   void TakeView(const session::FleetViewPointer& view);
-  // The answer to the heartbeat of time `sent` granted or renewed the lease.
+  // Processes an answer that granted or renewed the lease; the owner sent the
+  // heartbeat at `sent`.
   void TakeLease(MonotonicTime sent);
   void TakeWatermarks(resources::Revision in_force,
                       resources::Revision zone_released);
--- a/test/property/routing/query_checker.cc
+++ b/test/property/routing/query_checker.cc
@@ -94,7 +94,8 @@
         });
   }
 
-  // The searched and missing ranges make up the requested one without overlap.
+  // Checks that the searched and missing ranges make up the requested range
+  // without overlap.
   void CheckRanges(const Coverage& coverage) {
     std::vector<KeyRange> all = coverage.searched;
     Key searched = 0;
@@ -118,8 +119,8 @@
            "coverage share does not match the searched ranges");
   }
 
-  // The answer has exactly the expected rows of its index version in the
-  // searched ranges, up to the row limit.
+  // Checks that the answer has exactly the expected rows of its index version
+  // in the searched ranges, up to the row limit.
   void CheckRows(const Answer& answer) {
     std::vector<Key> keys;
     for (const KeyRange& range : answer.coverage.searched) {
@@ -140,7 +141,8 @@
         "rows differ from those of the answer's snapshot and searched ranges");
   }
 
-  // Subqueries whose rows the front accepted cover the whole range.
+  // Checks that the subqueries whose rows the front accepted cover the whole
+  // range.
   void CheckWasSearched(resources::IndexVersion version, KeyRange range) {
     Key covered = range.begin;
     for (bool grew = true; grew && covered < range.end;) {
--- a/test/property/routing/query_checker.h
+++ b/test/property/routing/query_checker.h
@@ -19,10 +19,10 @@
 // Distance between the keys of neighbouring rows; the first row has key 0.
 inline constexpr Key kRowSpacing = 20;
 
-// The expected value of the row at `key` in an index version.
+// Returns the expected value of the row at `key` in an index version.
 std::string ExpectedValue(resources::IndexVersion version, Key key);
 
-// The expected rows of a version in a range, in key order.
+// Returns the expected rows of a version in a range, in key order.
 RowBlock ExpectedRows(resources::IndexVersion version, KeyRange range);
 
 // One subquery that the front sent.
@@ -45,8 +45,8 @@
 // Inputs, subqueries and outcomes of one query.
 struct QueryRecord {
   std::uint64_t id = 0;
-  // As the client requested; an injected defect may pass another value to the
-  // QueryRun.
+  // Whether the client declared the query repeatable. An injected defect may
+  // pass another value to the QueryRun.
   bool repeatable = true;
   KeyRange asked;
   std::uint32_t row_limit = 0;
--- a/test/property/routing/query_world.cc
+++ b/test/property/routing/query_world.cc
@@ -32,9 +32,10 @@
   bool connected = false;
   bool connecting = false;
   MonotonicTime backoff_until{};
-  // Incremented with each loss; messages of earlier generations may be lost.
+  // Number of losses of the connection so far. Messages of earlier generations
+  // may be lost.
   int generation = 0;
-  // Sends that wait for the connection to be established.
+  // Functions that send a message once the connection is established.
   std::vector<std::function<void()>> waiting;
 };
 
