--- a/source/common/owner/backend_gate.cc
+++ b/source/common/owner/backend_gate.cc
@@ -11,7 +11,7 @@
 
 using protocol::SubqueryOutcome;
 
-// Retry-after while the previous owner's searches finish.
+// Retry-after of refusals while the previous owner's searches finish.
 constexpr Duration kWaitingRetryAfter = milliseconds(20);
 // Backoff after the backend shed the only running subquery; doubles with each
 // further shed of this kind.
@@ -266,8 +266,9 @@
     const FairQueue::Entry entry = queue_.TakeNext(now);
     const bool too_late = now + service_time_.mean() > entry.deadline;
     if (too_late && !queue_.empty()) {
-      // The next subquery can use the slot better. If no other one waits, the
-      // gate starts this one, because the mean is only an estimate.
+      // Sheds this subquery, because the next one can use the slot better. If
+      // no other subquery waits, the gate starts this one, because the mean is
+      // only an estimate.
       queue_.ReleaseUncharged(entry.id);
       Finish(entry.id, SubqueryOutcome::kShed, RetryAfter(now));
     } else {
--- a/source/common/owner/backend_gate.h
+++ b/source/common/owner/backend_gate.h
@@ -86,20 +86,21 @@
   // the time that a backend takes to read one event after the other.
   static constexpr Duration kClosePropagationDelay = milliseconds(5);
 
-  // The gate is kClosed until SetAccess.
-  // @param seed of the jitter of backoffs and probe intervals.
+  // The gate is kClosed until the caller calls SetAccess.
+  // @param seed seed of the jitter of backoffs and probe intervals.
   BackendGate(const GateSettings& settings, Duration probe_interval,
               std::uint64_t seed);
 
   GateActions Configure(const GateSettings& settings, MonotonicTime now);
   GateActions SetAccess(GateAccess access, MonotonicTime now);
-  // See CircuitBreaker::SetMayOpen.
+  // Sets whether the backend may be ejected; see CircuitBreaker::SetMayOpen.
   GateActions SetEjectionAllowed(bool may_eject, MonotonicTime now);
   GateActions SetDraining(DrainSource level, bool draining, MonotonicTime now);
   // Sets the state that the previous owner reported; see DrainState.
   GateActions SetReportedDraining(bool draining, MonotonicTime now);
 
-  // @param deadline by which the backend's answer must be there.
+  // Submits a new subquery.
+  // @param deadline time by which the backend's answer must be there.
   // @param class_index position of the request class; a position beyond the
   //   last class counts as the first class.
   GateActions Submit(SubqueryId id, MonotonicTime deadline,
@@ -121,11 +122,13 @@
     bool cold = false;
     bool draining = false;
   };
-  // @param result nothing if the probe failed.
+  // Processes the end of a probe.
+  // @param result state that the backend answered; nothing if the probe failed.
   GateActions OnProbeDone(const std::optional<ProbeResult>& result,
                           MonotonicTime now);
 
-  // The caller calls OnTimer at NextTimer(); calls at other times are harmless.
+  // Performs the actions that are due. The caller calls OnTimer at NextTimer();
+  // calls at other times are harmless.
   GateActions OnTimer(MonotonicTime now);
   std::optional<MonotonicTime> NextTimer(MonotonicTime now) const;
 
@@ -165,9 +168,12 @@
   struct RunningSearch {
     MonotonicTime started;
     MonotonicTime deadline;
-    // The front has the outcome; the search keeps its slot until `close_at`.
+    // Whether the front has the outcome already. The search then keeps its slot
+    // until the backend answers, or at the latest until the gate closes the
+    // connection at `close_at`.
     bool abandoned = false;
-    // The search was cancelled, so a missing answer is not a backend failure.
+    // Whether the search was cancelled; a missing answer is then not a backend
+    // failure.
     bool cancelled = false;
     // When the gate closes the connection if no answer has come.
     MonotonicTime close_at;
@@ -217,8 +223,8 @@
   std::optional<MonotonicTime> probe_sent_;
   MonotonicTime next_probe_;
   bool cold_ = false;
-  // The backend shed the only running search: no search starts before this
-  // time.
+  // Time before which no search starts, because the backend shed the only
+  // running search.
   MonotonicTime backoff_until_;
   Duration backoff_{0};
   ServiceTimeEstimate service_time_;
--- a/source/common/owner/backend_reply.h
+++ b/source/common/owner/backend_reply.h
@@ -50,21 +50,22 @@
   ReplyKind kind = ReplyKind::kNoUsableAnswer;
   protocol::SubqueryOutcome outcome = protocol::SubqueryOutcome::kLost;
   std::vector<SearchRow> rows;
-  // Rows outside the requested range, left out of `rows`.
+  // Number of rows outside the requested range, which `rows` does not contain.
   std::uint32_t dropped_rows = 0;
-  // A complete HTTP answer came, with any status.
+  // Whether a complete HTTP answer came, with any status.
   bool answered = false;
-  // The answer has the header X-Draining: true.
+  // Whether the answer has the header X-Draining: true.
   bool draining = false;
   std::optional<BackendLoad> load;
-  // From X-Retry-After-Ms or Retry-After; 0 if the answer has neither.
+  // Delay from X-Retry-After-Ms or Retry-After; 0 if the answer has neither.
   Duration retry_after{0};
   // Why the body of a 200 was discarded; empty otherwise.
   std::string discard_reason;
 };
 
-// Never returns kRows for a shard or index version other than the expected one.
-// The backend may have run the search for such a body, so its outcome is kLost.
+// Interprets the reply to a search. A body for a shard or index version other
+// than the expected one never gives kRows: the backend may have run the search,
+// so the outcome is kLost.
 BackendReply InterpretSearchReply(const net::HttpClientResponse& response,
                                   const SearchExpectation& expected);
 
--- a/source/common/owner/circuit_breaker.h
+++ b/source/common/owner/circuit_breaker.h
@@ -18,7 +18,7 @@
 // Circuit breaker of one backend, owned by its BackendGate.
 class CircuitBreaker {
  public:
-  // @param seed of the jitter.
+  // @param seed seed of the jitter.
   explicit CircuitBreaker(std::uint64_t seed);
 
   // Sets whether the breaker may open. `false` closes the breaker and keeps it
@@ -38,7 +38,8 @@
 
   BreakerState State(MonotonicTime now) const;
 
-  // End of the backoff. Meaningful only while the breaker is open.
+  // Returns the end of the backoff. The value is meaningful only while the
+  // breaker is open.
   MonotonicTime retry_at() const { return retry_at_; }
 
  private:
--- a/source/common/owner/concurrency_limit.cc
+++ b/source/common/owner/concurrency_limit.cc
@@ -6,7 +6,8 @@
 namespace {
 
 constexpr double kDecreaseFactor = 0.7;
-// Slots by which the limit grows after as many served subqueries as the limit.
+// Number of slots by which the limit grows after as many served subqueries as
+// the limit allows at the same time.
 constexpr double kIncreasePerRound = 0.25;
 
 }  // namespace
@@ -52,7 +53,8 @@
   if (open >= slots) {
     return std::nullopt;
   }
-  // Rounded up, so that OpenSlots counts the slot as open at that time.
+  // The division rounds up, so that OpenSlots counts the slot as open at the
+  // returned time.
   const auto steps = slots - 1;
   const Duration offset((length_.count() * open + steps - 1) / steps);
   return begin_ + offset;
--- a/source/common/owner/concurrency_limit.h
+++ b/source/common/owner/concurrency_limit.h
@@ -41,11 +41,11 @@
  public:
   void Begin(MonotonicTime now, Duration length);
 
+  // Returns the number of slots open at `now`, at least one.
   // @param slots number of all slots.
-  // @return number of slots open at `now`; at least one.
   std::uint32_t OpenSlots(std::uint32_t slots, MonotonicTime now) const;
 
-  // @return when the next slot opens; nothing once all are open.
+  // Returns when the next slot opens, or nothing once all slots are open.
   std::optional<MonotonicTime> NextStep(std::uint32_t slots,
                                         MonotonicTime now) const;
 
--- a/source/common/owner/ejection.h
+++ b/source/common/owner/ejection.h
@@ -28,7 +28,8 @@
 
  private:
   struct Limit {
-    // Maximum number of ejected replicas, over the backend's shards the least.
+    // Maximum number of ejected replicas: the minimum over the backend's
+    // shards.
     std::size_t maximum_out = 0;
     // Other owned backends that hold one of the backend's shards.
     std::set<std::string> peers;
--- a/source/common/owner/feasibility.h
+++ b/source/common/owner/feasibility.h
@@ -14,13 +14,13 @@
   // Earliest time at which the next subquery can start.
   MonotonicTime first_start;
   Duration mean_service_time{0};
-  // Slots that all classes share.
+  // Number of slots that all classes share.
   double slots = 1;
 };
 
-// @return the subqueries of one class that would end after their deadline,
-//   given the class's share of the slots and the feasible subqueries queued
-//   before them in the class.
+// Returns the subqueries of one class that would end after their deadline,
+// given the class's share of the slots and the feasible subqueries queued
+// before them in the class.
 std::vector<SubqueryId> FindInfeasible(const FairQueue::Backlog& backlog,
                                        const FeasibilityEstimate& estimate);
 
--- a/source/common/owner/ownership_tracker.h
+++ b/source/common/owner/ownership_tracker.h
@@ -40,7 +40,8 @@
     // no search runs there and the connections are closed.
     std::vector<std::string> lost;
   };
-  // Ignores views that are not newer than the newest one seen.
+  // Processes a new view. Views that are not newer than the newest one seen are
+  // ignored.
   Change OnView(const session::FleetViewPointer& view);
 
   // Processes an increase of ControlSession::ZoneReleasedRevision.
@@ -64,7 +65,7 @@
 
   GateAccess AccessTo(const std::string& backend) const;
 
-  // The revision to report as released. It never decreases.
+  // Returns the revision to report as released. The revision never decreases.
   resources::Revision released() const;
 
  private:
@@ -73,14 +74,14 @@
   resources::Revision zone_released_ = 0;
   resources::Revision in_force_ = 0;
   bool leased_ = false;
-  // Owned backends; for each the revision that the zone must release before
+  // Owned backends, each with the revision that the zone must release before
   // this daemon uses the backend.
   std::map<std::string, resources::Revision> required_release_;
-  // Backends being released; for each the revision of the last view before the
-  // one that took the backend away.
+  // Backends being released, each with the revision of the last view before the
+  // view that took the backend away.
   std::map<std::string, resources::Revision> releasing_;
-  // Revisions of skipping views that are not in force yet; for each the
-  // revision of the view before.
+  // Revisions of skipping views that are not in force yet, each with the
+  // revision of the view before the skipping view.
   std::map<resources::Revision, resources::Revision> skipping_views_;
 };
 
--- a/source/common/routing/admission_limit.h
+++ b/source/common/routing/admission_limit.h
@@ -16,8 +16,9 @@
 
 namespace juniperway::routing {
 
-// Owned by a ServiceState, one per service and front. Counts queries; reads no
-// clock, callers pass the time.
+// Concurrency limit of one service, in queries. Each ServiceState owns one, so
+// there is one per service and front. AdmissionLimit reads no clock; callers
+// pass the time.
 class AdmissionLimit {
  public:
   // Lower bound of the limit, in queries: some queries must run for the front
@@ -45,7 +46,7 @@
   // @param began when OnQueryStarted was called for the query.
   void OnQueryEnded(LoadEvidence end, MonotonicTime began, MonotonicTime now);
 
-  // Limit and count of the running queries.
+  // Return the limit and the number of running queries.
   double limit() const { return limit_; }
   std::size_t running() const { return running_; }
 
@@ -55,8 +56,8 @@
   double limit_ = kMaximumLimit;
   std::size_t running_ = 0;
   MonotonicTime last_decrease_{};
-  // Queries that ended since the last decrease or the last full window, and
-  // the overloaded ones among them.
+  // Number of queries that ended since the last decrease or the last full
+  // window, and the number of overloaded ones among them.
   int ended_ = 0;
   int overloaded_ = 0;
 };
--- a/source/common/routing/attempt_log.h
+++ b/source/common/routing/attempt_log.h
@@ -26,9 +26,9 @@
   OwnerId owner = 0;
   MonotonicTime sent_at{};
   AttemptStatus status = AttemptStatus::kOutstanding;
-  // The attempt probes a backend whose circuit breaker is open.
+  // Whether the attempt probes a backend whose circuit breaker is open.
   bool probe = false;
-  // The backend certainly did not start the subquery.
+  // Whether it is certain that the backend did not start the subquery.
   bool provably_not_run = false;
 };
 
@@ -41,7 +41,8 @@
   kForeign,    // The attempt does not exist or belongs to another owner.
 };
 
-// Owned by a QueryRun, one per query. Ids are dense and start at 0.
+// Log of the attempts of one query, owned by its QueryRun. Attempt ids are
+// dense and start at 0.
 class AttemptLog {
  public:
   AttemptId Add(const Attempt& attempt);
@@ -55,10 +56,11 @@
 
   void MarkProvablyNotRun(AttemptId id);
 
-  // @return kNotRun when every attempt was provably not run or there is none,
-  //   else kMayHaveRun.
+  // Returns the execution state of the query.
+  // @return kNotRun when every attempt was provably not run or there is no
+  //   attempt, else kMayHaveRun.
   ExecutionState Execution() const;
-  // Number of attempts that may have run on a backend.
+  // Returns the number of attempts that may have run on a backend.
   AttemptId CountOfPossiblyRun() const { return size() - provably_not_run_; }
 
  private:
--- a/source/common/routing/backend_states.h
+++ b/source/common/routing/backend_states.h
@@ -17,15 +17,16 @@
 
 namespace juniperway::routing {
 
-// Owned by a FrontState, shared by all its queries. Reads no clock: callers
-// pass the time.
+// State of all backends that a front knows, owned by its FrontState and shared
+// by all queries of the front. BackendStates reads no clock; callers pass the
+// time.
 class BackendStates {
  public:
   static constexpr std::uint32_t kFailuresToOpen = 5;
   static constexpr Duration kMinimumOpenTime = seconds(1);
   static constexpr Duration kMaximumOpenTime = seconds(30);
-  // How long a drain that a result reported is used. The fleet view contains
-  // the drain by then.
+  // How long a drain that a result reported is used. By the end of this time,
+  // the fleet view contains the drain.
   static constexpr Duration kDrainTimeToLive = seconds(10);
 
   // --- Observations ---
--- a/source/common/routing/front_state.h
+++ b/source/common/routing/front_state.h
@@ -32,7 +32,8 @@
   std::uint64_t first_subqueries = 0;
   std::uint64_t hedges = 0;
   std::uint64_t retries = 0;
-  // Subqueries sent again after a refusal that cost the backend no work.
+  // Number of subqueries sent again after a refusal that cost the backend no
+  // work.
   std::uint64_t reroutes = 0;
   // Subqueries sent because a query restarted on a newer snapshot.
   std::uint64_t restarted_subqueries = 0;
@@ -42,7 +43,7 @@
   std::uint64_t budget_refusals = 0;
   // Queries refused because their service's admission limit was reached.
   std::uint64_t admission_refusals = 0;
-  // Discarded results; see ResultVerdict.
+  // Numbers of discarded results by reason; see ResultVerdict.
   std::uint64_t late_results = 0;
   std::uint64_t duplicate_results = 0;
   std::uint64_t foreign_results = 0;
@@ -50,8 +51,9 @@
   std::uint64_t out_of_range_rows = 0;
 };
 
-// Owned by the front half of a gateway, one per front, and used from one
-// thread. Reads no clock and does no I/O, so that a simulation can hold many.
+// State of one front, owned by the front half of a gateway and used from one
+// thread. FrontState reads no clock and does no I/O, so a simulation can hold
+// many fronts.
 class FrontState {
  public:
   FrontState(Place place, std::uint64_t random_seed,
@@ -74,11 +76,11 @@
 
   NameTable backend_names;
   NameTable owner_names;
-  // Never null. SetView replaces the table.
+  // Routing table of the newest view, never null. SetView replaces the table.
   std::shared_ptr<RoutingTable> routes;
   BackendStates backends;
   OwnerStates owners;
-  // By service name.
+  // State of each service, by service name.
   std::map<std::string, ServiceState> services;
   std::mt19937_64 random;
   FrontCounters counters;
--- a/source/common/routing/latency_tracker.h
+++ b/source/common/routing/latency_tracker.h
@@ -15,14 +15,15 @@
 
 namespace juniperway::routing {
 
-// Owned by a ServiceState, one per service and front.
+// Latency histogram of one service. Each ServiceState owns one, so there is one
+// per service and front.
 class LatencyTracker {
  public:
   static constexpr Duration kMinimumLatency = microseconds(50);
   static constexpr Duration kMaximumLatency = seconds(60);
   // Quantile returns nothing below this many samples.
   static constexpr std::uint64_t kMinimumSamples = 32;
-  // Sum of the counts at which they are halved.
+  // Sum of all counts at which the tracker halves the counts.
   static constexpr std::uint64_t kDecayThreshold = 8192;
 
   // Adds one sample.
@@ -32,8 +33,9 @@
   //   that wins.
   void Record(Duration latency);
 
-  // @param quantile in [0, 1].
-  // @return the latency, or nothing before kMinimumSamples.
+  // Returns a quantile of the recorded latencies.
+  // @param quantile the quantile, in [0, 1].
+  // @return nothing while there are fewer than kMinimumSamples samples.
   std::optional<Duration> Quantile(double quantile) const;
 
  private:
--- a/source/common/routing/name_table.h
+++ b/source/common/routing/name_table.h
@@ -15,7 +15,8 @@
 using BackendId = std::uint32_t;
 using OwnerId = std::uint32_t;
 
-// Owned by a FrontState, one table for backends and one for owners.
+// Table of names and their ids. A FrontState owns one table for backends and
+// one for owners.
 class NameTable {
  public:
   // Returns the id of `name`; assigns the next free id to a new name.
--- a/source/common/routing/owner_states.h
+++ b/source/common/routing/owner_states.h
@@ -10,7 +10,8 @@
 
 namespace juniperway::routing {
 
-// Owned by a FrontState, shared by all its queries. Callers pass the time.
+// State of all owners that a front knows, owned by its FrontState and shared by
+// all queries of the front. Callers pass the time.
 class OwnerStates {
  public:
   // How long a lost connection counts against its owner.
--- a/source/common/routing/ownership.h
+++ b/source/common/routing/ownership.h
@@ -1,7 +1,8 @@
 // Assigns each backend to an owner gateway by rendezvous hashing (highest
 // random weight) among the gateways of the backend's zone that are not leaving.
 // Every daemon with the same view computes the same owner. When a gateway joins
-// or leaves, only the backends that it gains or had change their owner.
+// or leaves, the owner changes only for the backends that this gateway gains or
+// loses.
 #pragma once
 
 #include <map>
@@ -31,15 +32,15 @@
   explicit OwnershipTable(session::FleetViewPointer view,
                           const OwnershipTable* previous = nullptr);
 
-  // The pointer is valid as long as the table.
+  // Returns the owner of `backend`. The pointer is valid as long as the table.
   // @return null when the backend is unknown or its zone has no gateway.
   const session::Member* OwnerOf(const std::string& backend) const;
 
-  // Names of the backends that `daemon_id` owns, sorted.
+  // Returns the names of the backends that `daemon_id` owns, sorted.
   std::vector<std::string> OwnedBy(const std::string& daemon_id) const;
 
-  // Names of the backends of this table's view whose owner, or the region of
-  // the owner, differs from `previous`.
+  // Returns the names of the backends of this table's view whose owner, or the
+  // owner's region, differs from that in `previous`.
   std::vector<std::string> MovedSince(const OwnershipTable& previous) const;
 
   const session::FleetViewPointer& view() const { return view_; }
--- a/source/common/routing/query_run.cc
+++ b/source/common/routing/query_run.cc
@@ -143,8 +143,8 @@
     return;
   }
   CancelAll(now, actions);
-  // The attempts on the earlier snapshot are wasted work, which the retry
-  // budget is charged for.
+  // The work of the attempts on the earlier snapshot is wasted, so the retry
+  // budget is charged for these attempts.
   service_state_.budget.Charge(attempt_log_.CountOfPossiblyRun() -
                                charged_attempts_);
   charged_attempts_ = attempt_log_.CountOfPossiblyRun();
@@ -168,7 +168,7 @@
   const ReplicaRoute& replica = choice->replica;
   const bool busy = front_.backends.Load(replica.backend, now) >= replica.slots;
   if (kind == SendKind::kHedge && busy) {
-    // The hedge would only queue there and delay other subqueries.
+    // A hedge to this backend would only queue and delay other subqueries.
     return false;
   }
   if (!TryChargeBudget(kind, now)) {
--- a/source/common/routing/query_run.h
+++ b/source/common/routing/query_run.h
@@ -72,7 +72,8 @@
   AdmissionLimit::LoadEvidence LoadEvidenceOf(
       const QueryOutcome& outcome) const;
   const QueryRequest& request() const { return request_; }
-  // Revision of the view with which the query was admitted or last restarted.
+  // Returns the revision of the view with which the query was admitted or last
+  // restarted.
   resources::Revision revision() const { return pinned_view_->revision; }
 
  private:
@@ -86,7 +87,7 @@
     // Key range of the partition, clipped to the requested range.
     KeyRange range;
     PartitionStatus status = PartitionStatus::kPending;
-    // Why the partition is missing, or was refused last.
+    // Why the partition is missing, or why its last attempt was refused.
     MissingReason reason = MissingReason::kDeadline;
     RowBlock block;
     std::vector<AttemptId> attempts;
@@ -94,8 +95,8 @@
     std::uint8_t hedges = 0;
     std::uint8_t retries = 0;
     std::uint8_t reroutes = 0;
-    // A backend without free slots shed the subquery or let it expire
-    // unstarted.
+    // Whether a backend without free slots shed the subquery or let the
+    // subquery expire before its start.
     bool shed_by_busy_backend = false;
     std::optional<MonotonicTime> hedge_at;
     // When to send the partition again, as `resend_kind`; empty when no resend
@@ -129,13 +130,15 @@
             Actions& actions);
   std::optional<ReplicaChoice> Choose(const PartitionState& partition,
                                       SendKind kind, MonotonicTime now);
-  // @return the newest route of the partition, or null when the view no longer
-  //   has the pinned version with the same partition.
+  // Returns the newest route of the partition.
+  // @return null when the view no longer has the pinned version with the same
+  //   partition.
   const PartitionRoute* CurrentRoute(const PartitionState& partition) const;
   // Counts the attempt and adds or takes its retry budget.
   // @return false when the budget refuses the attempt.
   bool TryChargeBudget(SendKind kind, MonotonicTime now);
-  // @return the batch for the owner in `actions`, added if missing.
+  // Returns the batch for the owner in `actions`; adds the batch if there is
+  // none.
   Batch& BatchFor(OwnerId owner, MonotonicTime now, Actions& actions);
   // Logs a new attempt and adds its subquery to a batch.
   void Record(PartitionState& partition, const ReplicaChoice& choice,
@@ -188,7 +191,7 @@
   // Returns `duration` plus a random addition of at most half of it, so that
   // clients do not retry at the same time.
   Duration Jittered(Duration duration);
-  // Moves the next timer to `time` if that is earlier.
+  // Moves the next timer to `time` if `time` is earlier.
   void ScheduleTimer(MonotonicTime time);
 
   QueryRequest request_;
@@ -208,10 +211,12 @@
   std::size_t pending_ = 0;
   Key searched_width_ = 0;
   std::uint8_t restarts_ = 0;
-  // Attempts of earlier snapshots that the retry budget was charged for.
+  // Number of attempts on earlier snapshots for which the retry budget was
+  // charged.
   AttemptId charged_attempts_ = 0;
-  // A partition could not be sent again, and either no replica holds the pinned
-  // version any more or the last attempt was refused for that version.
+  // Whether a partition could not be sent again, and either no replica holds
+  // the pinned version any more or the last attempt was refused for that
+  // version.
   bool restart_wanted_ = false;
   // Empty when the query sends no hedges.
   std::optional<Duration> hedge_delay_;
--- a/source/common/routing/query_run_outcome.cc
+++ b/source/common/routing/query_run_outcome.cc
@@ -96,8 +96,8 @@
   }
 }
 
-// The batches planned during this call have not been sent, so that dropping
-// them needs no cancellation.
+// The batches planned during this call have not been sent, so dropping them
+// needs no cancellation.
 void QueryRun::DropPlannedBatches(Actions& actions) {
   for (const Batch& batch : actions.batches) {
     for (const PlannedSubquery& subquery : batch.subqueries) {
--- a/source/common/routing/query_run_results.cc
+++ b/source/common/routing/query_run_results.cc
@@ -298,10 +298,11 @@
   });
 }
 
-// Called when no other replica can take the partition: schedules a resend,
-// which may go to a replica that already had the partition. Draining replicas
-// would refuse again, and a resend to replicas that shed would only add load,
-// so neither is sent again.
+// Schedules a resend, which may go to a replica that already had the partition.
+// QueryRun calls ScheduleResend when no other replica can take the partition.
+// After a refusal by a draining replica or a shed, no resend is scheduled:
+// draining replicas would refuse again, and a resend to replicas that shed
+// would only add load.
 void QueryRun::ScheduleResend(PartitionState& partition, SendKind kind,
                               MonotonicTime now) {
   const bool resend_is_futile = partition.reason == MissingReason::kDraining ||
@@ -379,7 +380,8 @@
   if (Send(partition, SendKind::kHedge, now, actions)) {
     ++partition.hedges;
   } else if (hedge_delay_.has_value()) {
-    // Retry budget or a replica with free slots may become available.
+    // Tries the hedge again later, because retry budget or a replica with free
+    // slots may become available.
     partition.hedge_at = now + *hedge_delay_;
   }
 }
--- a/source/common/routing/query_types.h
+++ b/source/common/routing/query_types.h
@@ -30,18 +30,19 @@
   std::string service;
   std::string request_class;
   std::string text;
-  // Requested keys, clipped to the snapshot's extent. Empty: every key of the
-  // snapshot.
+  // Requested keys, which QueryRun clips to the snapshot's extent. If empty,
+  // the query requests every key of the snapshot.
   std::optional<KeyRange> range;
   // Maximum number of rows in the answer.
   std::uint32_t row_limit = 1;
-  // False when no partition may be searched twice.
+  // Whether a partition may be searched more than once.
   bool repeatable = true;
   MonotonicTime received{};
   MonotonicTime deadline{};
 };
 
-// One row. The value points into the storage of the block that holds the row.
+// One row of a result. The value points into the storage of the block that
+// holds the row.
 struct ResultRow {
   Key key = 0;
   std::string_view value;
@@ -91,12 +92,12 @@
   OwnerId owner = 0;
   resources::IndexVersion index_version = 0;
   std::uint32_t row_limit = 0;
-  // Time that the owner has for the batch.
+  // Time within which the owner must answer the batch.
   Duration remaining{};
   std::vector<PlannedSubquery> subqueries;
 };
 
-// Attempts that the front tells an owner to cancel.
+// Attempts that one owner must cancel.
 struct Cancellation {
   OwnerId owner = 0;
   std::vector<AttemptId> attempts;
@@ -122,8 +123,8 @@
   bool operator==(const MissingRange&) const = default;
 };
 
-// Which keys an answer covers. The searched and missing ranges are sorted and
-// disjoint, and together make up the requested range.
+// Key ranges that an answer covers. The searched and missing ranges are sorted
+// and disjoint, and together make up the requested range.
 struct Coverage {
   // Searched share of the requested range, by width, from 0 to 1.
   double share = 0;
@@ -139,7 +140,7 @@
   // Keeps the rows' values alive.
   std::vector<std::shared_ptr<const void>> storage;
   Coverage coverage;
-  // The searched partitions had more rows than the limit.
+  // Whether the searched partitions had more rows than the limit.
   bool truncated = false;
   ExecutionState execution = ExecutionState::kRan;
 };
--- a/source/common/routing/replica_selector.cc
+++ b/source/common/routing/replica_selector.cc
@@ -72,8 +72,8 @@
   if (ejected_.size() <= bound) {
     return;
   }
-  // The bound is exceeded: the backends with the latest probe time stay
-  // ejected.
+  // More backends are ejected than the bound allows: only those with the latest
+  // probe times stay ejected.
   std::ranges::sort(ejected_, [&states](BackendId left, BackendId right) {
     const MonotonicTime left_until = states.EjectedUntil(left);
     const MonotonicTime right_until = states.EjectedUntil(right);
--- a/source/common/routing/replica_selector.h
+++ b/source/common/routing/replica_selector.h
@@ -28,10 +28,12 @@
   // Maximum share of the partition's replicas that may be ejected, rounded down
   // to whole replicas (Service::maximum_ejected_share).
   double maximum_ejected_share = 0;
-  // Backends that must not be chosen, since the partition was sent to them.
+  // Backends that must not be chosen, because the partition was already sent to
+  // them.
   std::span<const BackendId> excluded;
-  // Chosen only when no other owner is available. A hedge avoids the owner of
-  // the earlier attempt because that owner may itself be slow.
+  // Owner whose backends are chosen only when no other owner is available. A
+  // hedge avoids the owner of the earlier attempt because that owner may itself
+  // be slow.
   std::optional<OwnerId> avoided_owner;
   // Whether this subquery may probe a backend whose breaker is open.
   bool may_probe = true;
@@ -39,7 +41,8 @@
 
 struct ReplicaChoice {
   ReplicaRoute replica;
-  // The backend's breaker is open and the subquery is its probe.
+  // Whether the backend's breaker is open and the subquery is the breaker's
+  // probe.
   bool probe = false;
 };
 
@@ -48,6 +51,7 @@
  public:
   explicit ReplicaSelector(ReplicaPolicy policy) : policy_(policy) {}
 
+  // Chooses a replica for one subquery.
   // @return nothing when no replica may be chosen.
   std::optional<ReplicaChoice> Choose(const ReplicaRequest& request,
                                       const BackendStates& states,
@@ -73,7 +77,7 @@
                                    MonotonicTime now) const;
 
   ReplicaPolicy policy_;
-  // Reused by each call to avoid allocations.
+  // Scratch buffers of Choose, kept between calls to avoid allocations.
   std::vector<BackendId> ejected_;
   std::vector<const ReplicaRoute*> candidates_;
 };
--- a/source/common/routing/retry_budget.h
+++ b/source/common/routing/retry_budget.h
@@ -1,5 +1,5 @@
 // Retry budget of a service: a token bucket that bounds its hedges and retries.
-// Every first subquery adds the service's share of a token, every hedge or
+// Every first subquery adds the service's share of a token; every hedge or
 // retry takes one token. Since the start, hedges + retries <= share * first
 // subqueries + kReserve. Unspent tokens are bounded by the deposits of the
 // current and the previous window, so that a long period without failures does
@@ -12,8 +12,8 @@
 
 namespace juniperway::routing {
 
-// Owned by a ServiceState, one per service and front. Counts in tokens; one
-// token pays for one subquery.
+// Token bucket of one service. Each ServiceState owns one, so there is one per
+// service and front. One token pays for one subquery.
 class RetryBudget {
  public:
   // Initial tokens, which never expire: a service with little traffic can
--- a/source/common/routing/routing_table.h
+++ b/source/common/routing/routing_table.h
@@ -36,18 +36,19 @@
   // Backends that hold the shard at this index version, are not draining and
   // have an owner; sorted by name.
   std::vector<ReplicaRoute> replicas;
-  // True when there are no replicas and at least one backend that holds the
-  // shard at this index version is draining.
+  // Whether there are no replicas and at least one backend that holds the shard
+  // at this index version is draining.
   bool all_draining = false;
 };
 
 // Routes of one index version of a service.
 struct SnapshotRoute {
   resources::IndexVersion index_version = 0;
-  // Sorted by range, contiguous.
+  // Routes of the partitions, sorted by range and contiguous.
   std::vector<PartitionRoute> partitions;
 
-  // From the first partition's begin to the last one's end.
+  // Returns the range from the begin of the first partition to the end of the
+  // last one.
   KeyRange Extent() const;
 };
 
@@ -57,12 +58,13 @@
 // its owner reports it as draining or the platform is removing it.
 bool IsDraining(const std::string& backend, const session::FleetView& view);
 
-// Owned by a FrontState and by the queries that use it. A table takes over from
-// the table of the previous view the routes of each service whose backends,
-// reports, drains and owners did not change. Used from one thread.
+// Routes of all services of one view. A table is owned by a FrontState and by
+// the queries that use the table, and is used from one thread. It takes over
+// from the table of the previous view the routes of each service whose
+// backends, reports, drains and owners did not change.
 class RoutingTable {
  public:
-  // The name tables must outlive the routing table.
+  // Builds the table of `view`. The name tables must outlive the routing table.
   // @param previous the table of the previous view, or null.
   RoutingTable(session::FleetViewPointer view, const RoutingTable* previous,
                Place place, NameTable& backend_names, NameTable& owner_names);
@@ -72,19 +74,23 @@
     return ownership_.view();
   }
 
+  // Returns the resource of a service.
   // @return null when the service is unknown.
   const resources::Service* FindService(const std::string& service) const;
 
-  // Routes of the version to which new queries of the service are pinned.
+  // Returns the routes of the version to which new queries of the service are
+  // pinned.
   // @return null when the service serves no snapshot.
   SnapshotRoutePointer Serving(const std::string& service);
 
-  // Routes of one version, which may be older than the one served.
+  // Returns the routes of one version, which may be older than the version that
+  // the service serves.
   // @return null when the view does not have that snapshot.
   SnapshotRoutePointer Route(const std::string& service,
                              resources::IndexVersion index_version);
 
-  // @return the gateway with that id, or null when it is no longer a member.
+  // Returns the gateway with the id `owner`.
+  // @return null when the gateway is no longer a member.
   const session::Member* Owner(OwnerId owner) const;
 
  private:
@@ -96,7 +102,7 @@
   void ReuseValidRoutes(const RoutingTable& previous);
   // Updates backends_by_service_ from the view `before` to this view.
   void UpdateServices(const session::FleetView& before);
-  // Services whose routes may differ from those of `previous`.
+  // Returns the services whose routes may differ from those of `previous`.
   Names ChangedServices(const RoutingTable& previous) const;
   SnapshotRoutePointer Build(const std::string& service,
                              const resources::IndexSnapshot& snapshot);
@@ -109,8 +115,8 @@
   Place place_;
   NameTable& backend_names_;
   NameTable& owner_names_;
-  // By service name. Services without changes share the set with the previous
-  // table.
+  // Names of the backends of each service, by service name. Services without
+  // changes share the set with the previous table.
   std::map<std::string, std::shared_ptr<const Names>> backends_by_service_;
   std::map<SnapshotKey, SnapshotRoutePointer> routes_;
 };
--- a/source/common/routing/zone_owners.h
+++ b/source/common/routing/zone_owners.h
@@ -15,11 +15,11 @@
 // Whether the member may own backends: a gateway that is not leaving.
 bool CanOwnBackends(const session::Member& member);
 
-// Weight of a gateway for a backend; the gateway with the highest weight owns
-// the backend.
-// @param seed of the gateway, from OwnerSeedOf.
+// Returns the weight of a gateway for a backend; the gateway with the highest
+// weight owns the backend.
+// @param seed seed of the gateway, from OwnerSeedOf.
 std::uint64_t OwnerWeightOf(const std::string& backend, std::uint64_t seed);
-// Hash of the daemon id, the seed for OwnerWeightOf.
+// Returns the hash of the daemon id, which is the seed for OwnerWeightOf.
 std::uint64_t OwnerSeedOf(const std::string& daemon_id);
 
 // Whether `member`, with `weight`, takes precedence over `best`, the preferred
@@ -28,13 +28,14 @@
 bool TakesPrecedence(std::uint64_t weight, const session::Member& member,
                      std::uint64_t best_weight, const session::Member* best);
 
-// Immutable, so that the ownership tables of successive views share the zones
-// in which nothing changed. Owned by the OwnershipTables.
+// Owners of one zone's backends in one view. A ZoneOwners is immutable and
+// owned by OwnershipTables, so the tables of successive views can share the
+// zones in which nothing changed.
 class ZoneOwners {
  public:
   using MemberPointer = std::shared_ptr<const session::Member>;
 
-  // What changed in a zone from one view to the next.
+  // Changes in a zone from one view to the next.
   struct Change {
     // Gateways that may own backends and are new or have changed fields.
     std::vector<MemberPointer> upserted_members;
@@ -45,18 +46,21 @@
   };
 
   ZoneOwners() = default;
-  // Computes one weight per backend and set member, and compares all gateways
-  // only for new backends and those whose owner was removed.
+  // Applies `change` to `previous`. A new backend, and one whose owner was
+  // removed, gets the gateway with the highest weight among all gateways of the
+  // zone. For every other backend, the constructor compares the weight of the
+  // present owner only with the weights of `change.upserted_members`.
   ZoneOwners(const ZoneOwners& previous, const Change& change);
 
+  // Returns the owner of `backend`.
   // @return null when the backend is unknown or the zone has no gateway.
   const session::Member* OwnerOf(const std::string& backend) const;
 
-  // Names of the backends that `daemon_id` owns, not sorted.
+  // Returns the names of the backends that `daemon_id` owns, not sorted.
   std::vector<std::string> OwnedBy(const std::string& daemon_id) const;
 
-  // Names of the backends whose owner, or the region of the owner, differs from
-  // `previous`.
+  // Returns the names of the backends whose owner, or the owner's region,
+  // differs from that in `previous`.
   std::vector<std::string> MovedSince(const ZoneOwners& previous) const;
 
   bool empty() const { return candidates_.empty() && owners_.empty(); }
@@ -79,9 +83,9 @@
                                  const Candidate& candidate, Owner& best);
   void ChooseFromCandidates(const std::string& backend, Owner& owner) const;
 
-  // By daemon id.
+  // Gateways that may own backends, by daemon id.
   std::map<std::string, Candidate> candidates_;
-  // By backend name.
+  // Owners of the zone's backends, by backend name.
   std::unordered_map<std::string, Owner> owners_;
 };
 
--- a/test/property/owner/owner_world.cc
+++ b/test/property/owner/owner_world.cc
@@ -62,7 +62,8 @@
   timeline_.After(kControlInterval, [this] { ControlTick(); });
 }
 
-// Makes one random change, which is reverted after a while. If changes toggled
+// Makes one random change, which is reverted after a while, and schedules the
+// next change. If changes toggled
 // the state, half of the members would be leaving and half of the backends
 // draining at any time, and few searches would run.
 void World::ChangeSomething() {
@@ -71,7 +72,7 @@
   } else {
     DrainBackend(DrawBackend());
   }
-  // Often makes several changes within 3 ms, so that owners skip views.
+  // The next change often follows within 3 ms, so that owners skip views.
   timeline_.After(
       random_.Percent(40) ? random_.Delay(0, 3) : random_.Delay(40, 600),
       [this] { ChangeSomething(); });
--- a/test/property/owner/zone_control.h
+++ b/test/property/owner/zone_control.h
@@ -32,7 +32,8 @@
   // Makes the next view by applying `change` to a copy of the newest one.
   void Publish(const std::function<void(session::FleetView&)>& change);
 
-  // Grants or renews the sender's lease if the sender may have one.
+  // Processes a heartbeat: adds a sender that is not a member as a member, and
+  // grants or renews the lease of a member that is up to date or renews.
   // @return whether the lease was granted or renewed.
   bool OnHeartbeat(const Heartbeat& heartbeat, MonotonicTime now);
 
@@ -41,7 +42,8 @@
   void Tick(MonotonicTime now);
 
   const session::FleetView& newest() const { return *views_.back(); }
-  // @param revision 1 to newest().revision.
+  // Returns the view of a revision.
+  // @param revision revision from 1 to newest().revision.
   session::FleetViewPointer view(resources::Revision revision) const {
     return views_.at(revision - 1);
   }
--- a/test/property/owner/zone_owner.h
+++ b/test/property/owner/zone_owner.h
@@ -41,7 +41,8 @@
   void TakeLease(MonotonicTime sent);
   void TakeWatermarks(resources::Revision in_force,
                       resources::Revision zone_released);
-  // Applies the begin or end of the lease.
+  // Applies the begin or the end of the lease if either has occurred since the
+  // last call.
   void CheckLease();
   void Submit(const std::string& backend, SubqueryId id,
               MonotonicTime deadline);
@@ -64,7 +65,7 @@
     // Increases when the owner closes all connections. Answers to cancels and
     // probes of an earlier generation are ignored.
     std::uint64_t generation = 0;
-    // Cancels and probes in flight.
+    // Number of cancels and probes in flight.
     std::uint32_t calls = 0;
     bool drain_known = false;
   };
--- a/test/property/routing/query_checker.h
+++ b/test/property/routing/query_checker.h
@@ -30,14 +30,15 @@
   OwnerId owner = 0;
   resources::IndexVersion version = 0;
   KeyRange range;
-  // The backend started the subquery.
+  // Whether the backend started the subquery.
   bool begun = false;
-  // The front received evidence that the subquery was not run, before the
-  // subquery was completed or cancelled.
+  // Whether the front received evidence that the subquery was not run, before
+  // the subquery was completed or cancelled.
   bool delivered_not_run = false;
-  // The front received the rows before the subquery was completed or cancelled.
+  // Whether the front received the rows before the subquery was completed or
+  // cancelled.
   bool delivered_rows = false;
-  // The subquery was answered or lost.
+  // Whether the subquery was answered or lost.
   bool completed = false;
   bool cancelled = false;
 };
--- a/test/property/routing/world_fleet.h
+++ b/test/property/routing/world_fleet.h
@@ -21,7 +21,7 @@
 // Owned by a World, whose random generator the fleet shares.
 class WorldFleet {
  public:
-  // Serves one snapshot.
+  // Creates a fleet that serves one snapshot.
   explicit WorldFleet(WorldRandom& random);
 
   // Makes one random change: serves a new snapshot, or starts or ends the drain
@@ -29,7 +29,7 @@
   void Change();
 
   const session::FleetView& view() const { return view_; }
-  // The newest index version; versions start at 1.
+  // Returns the newest index version; versions start at 1.
   resources::IndexVersion newest() const { return newest_; }
   // Whether the backend actually holds the version; the view may be outdated.
   bool Holds(const std::string& backend, resources::IndexVersion version) const;
@@ -53,12 +53,12 @@
   // Time from the arrival at the owner until the owner sends the result.
   Duration after{};
   bool begun = false;
-  // The owner never sends a result.
+  // Whether the owner never sends a result.
   bool silent = false;
 };
 
-// Draws how a subquery is handled.
-// @param remaining time that the front gave the owner.
+// Draws how an owner and its backend handle a subquery.
+// @param remaining time that the front gave the owner for the subquery.
 SubqueryHandling DrawHandling(WorldRandom& random, bool holds_snapshot,
                               Duration remaining);
 
--- a/test/unit/owner/ejection_test.cc
+++ b/test/unit/owner/ejection_test.cc
@@ -7,7 +7,7 @@
 
 using Names = std::set<std::string>;
 
-// View of one shard with replicas r1 to rN.
+// Returns a view of one shard with `replicas` replicas r1, r2, ...
 session::FleetView ViewOf(int replicas, double share) {
   session::FleetView view;
   view.services["logs"].maximum_ejected_share = share;
@@ -30,7 +30,7 @@
   CHECK(policy.MayEject("r1", {}));
   CHECK(policy.MayEject("r2", {"r1"}));
   CHECK_FALSE(policy.MayEject("r3", {"r1", "r2"}));
-  // Open breakers may stay open, up to the share.
+  // As many open breakers as the share allows may stay open.
   CHECK(policy.MayEject("r1", {"r1", "r2"}));
   CHECK(policy.MayEject("r2", {"r1", "r2"}));
   CHECK_FALSE(policy.MayEject("r3", {"r1", "r2", "r3"}));
--- a/test/unit/owner/gate_fixture.h
+++ b/test/unit/owner/gate_fixture.h
@@ -39,7 +39,7 @@
   return found == actions.end() ? std::nullopt : std::optional(*found);
 }
 
-// Outcome of `id`; kRows if `actions` has no kFinish for it.
+// Returns the outcome of `id`, or kRows if `actions` has no kFinish for `id`.
 inline protocol::SubqueryOutcome OutcomeOf(const GateActions& actions,
                                            SubqueryId id) {
   const auto finish = FinishOf(actions, id);
--- a/test/unit/owner/ownership_tracker_test.cc
+++ b/test/unit/owner/ownership_tracker_test.cc
@@ -10,7 +10,8 @@
 
 using Names = std::vector<std::string>;
 
-// View of zone "z" with two gateways; each owns some of the backends.
+// Returns a view of zone "z" with two gateways, each of which owns some of the
+// backends.
 session::FleetView TwoGateways(resources::Revision revision) {
   session::FleetView view;
   view.revision = revision;
--- a/test/unit/routing/admission_limit_test.cc
+++ b/test/unit/routing/admission_limit_test.cc
@@ -1,5 +1,5 @@
-// AdmissionLimit: when the limit decreases, by how much, and how it grows
-// again.
+// Tests when and by how much AdmissionLimit decreases the limit, and how the
+// limit grows again.
 #include "common/routing/admission_limit.h"
 
 #include <doctest/doctest.h>
--- a/test/unit/routing/ownership_test.cc
+++ b/test/unit/routing/ownership_test.cc
@@ -1,5 +1,5 @@
-// Ownership: OwnershipTable agrees with OwnerOf, membership changes move as few
-// backends as possible, and leaving members own none.
+// Tests that OwnershipTable agrees with OwnerOf, that membership changes move
+// as few backends as possible, and that leaving members own no backend.
 #include "common/routing/ownership.h"
 
 #include <doctest/doctest.h>
--- a/test/unit/routing/query_run_extra_test.cc
+++ b/test/unit/routing/query_run_extra_test.cc
@@ -1,5 +1,5 @@
-// QueryRun: hedges, retries and reroutes with their bounds; queries that are
-// not repeatable; the load signal for the admission limit.
+// Tests the hedges, retries and reroutes of QueryRun with their bounds, queries
+// that are not repeatable, and the load evidence for the admission limit.
 #include <doctest/doctest.h>
 
 #include "common/routing/query_run.h"
@@ -28,7 +28,7 @@
   CHECK(hedge[0].backend != first[0].backend);
   CHECK(hedge[0].owner != first[0].owner);
   CHECK(fixture.front.counters.hedges == 1);
-  // No second hedge for the same partition.
+  // QueryRun sends no second hedge for the same partition.
   CHECK(SentIn(fixture.run->OnTimer(At(200))).empty());
 
   SUBCASE("the hedge wins") {
@@ -237,8 +237,8 @@
   }
 }
 
-// Ends a query of two partitions: the only backend of one sheds with the given
-// reported load, the other partition answers.
+// Ends a query of two partitions. The only backend of one partition sheds and
+// reports `load`; the backend of the other partition answers.
 QueryOutcome EndWithOneShed(QueryFixture& fixture, std::uint32_t load) {
   const std::vector<Sent> sent = SentIn(fixture.Start());
   OwnerResult shed = Outcome(sent[0], SubqueryOutcome::kShed);
--- a/test/unit/routing/query_run_test.cc
+++ b/test/unit/routing/query_run_test.cc
@@ -1,5 +1,5 @@
-// QueryRun: answers, coverage, refusals and restarts. query_run_extra_test.cc
-// tests hedges, retries and reroutes.
+// Tests the answers, coverage, refusals and restarts of QueryRun.
+// query_run_extra_test.cc tests hedges, retries and reroutes.
 #include "common/routing/query_run.h"
 
 #include <doctest/doctest.h>
@@ -269,7 +269,7 @@
   REQUIRE(fresh.size() == 2);
   CHECK(fresh[0].index_version == 2);
   CHECK(fixture.front.counters.restarts == 1);
-  // A late result of the old version.
+  // A late result of the old version arrives.
   fixture.Reply(old[1], test::Rows(old[1]), At(7));
   fixture.Reply(fresh[0], test::Rows(fresh[0]), At(8));
   const Actions last = fixture.Reply(fresh[1], test::Rows(fresh[1]), At(9));
--- a/test/unit/routing/routing_table_test.cc
+++ b/test/unit/routing/routing_table_test.cc
@@ -1,5 +1,5 @@
-// RoutingTable: a table that reuses routes of the previous view equals a table
-// that is built from the view alone.
+// Tests that a RoutingTable that reuses routes of the previous view equals a
+// table that is built from the view alone.
 #include "common/routing/routing_table.h"
 
 #include <doctest/doctest.h>
