--- a/source/common/owner/backend_gate.h
+++ b/source/common/owner/backend_gate.h
@@ -1,7 +1,8 @@
 // Admission control for one backend. BackendGate decides which subqueries
 // start, wait in the queue, are refused, are cancelled or lose their
 // connection, so that the backend's slots and connections are never exceeded.
-// It does no I/O: the caller passes the time and performs the returned actions.
+// The gate does no I/O: the caller passes the time and performs the returned
+// actions.
 //
 // A search takes a slot from kStart until the backend has answered or the
 // connection has been closed, even if nobody waits for the answer any more.
@@ -36,7 +37,8 @@
   std::uint32_t maximum_connections = 1;
   // Subqueries that wait for a slot, over all request classes.
   std::uint32_t queue_limit = 64;
-  // Time after a cold start or an outage in which the slots open one by one.
+  // Time after a cold start or an outage in which the slots open one after the
+  // other; 0 opens all slots at once.
   Duration slow_start{0};
   // Weights of the service's request classes, in the order of the classes.
   std::vector<std::uint32_t> class_weights = {1};
@@ -45,10 +47,12 @@
 
 // Whether this daemon may use the backend.
 enum class GateAccess {
-  kClosed,  // This daemon is not the owner: nothing starts, the rest finishes.
-  kAwaitingRelease,  // This daemon is the owner; the previous one may still
-                     // send.
-  kOpen,             // This daemon is the owner and may send.
+  // This daemon is not the owner: no search starts, and running ones finish.
+  kClosed,
+  // This daemon is the owner, but the previous owner may still send searches.
+  kAwaitingRelease,
+  // This daemon is the owner and may send searches.
+  kOpen,
 };
 
 enum class GateActionKind {
@@ -63,7 +67,7 @@
 struct GateAction {
   GateActionKind kind = GateActionKind::kFinish;
   SubqueryId id = 0;
-  // For kFinish only.
+  // Set for kFinish only.
   protocol::SubqueryOutcome outcome = protocol::SubqueryOutcome::kShed;
   // For refusals: delay after which the front may send the subquery again; 0 if
   // unknown.
@@ -80,8 +84,8 @@
   // before it closes the connection.
   static constexpr Duration kLateAnswerTimeout = milliseconds(50);
   // How long a closed connection and its slot still count as used. The next
-  // search may open another connection, which must not reach the backend before
-  // the close does, or the backend exceeds its limits
+  // search may open another connection. If that connection reached the backend
+  // before the close, the backend would exceed its limits
   // (integration.gateway/owner_flood shows this race). The value is many times
   // the time that a backend takes to read one event after the other.
   static constexpr Duration kClosePropagationDelay = milliseconds(5);
@@ -137,7 +141,8 @@
   GateActions Stop(MonotonicTime now);
 
   // Closes every connection at once, because the lease ended. Started searches
-  // end as kLost. The caller also closes the connections of cancels and probes.
+  // end as kLost. The caller also closes the connections of cancel requests and
+  // probes.
   GateActions CloseAllConnections(MonotonicTime now);
 
   // Whether no subquery is queued and no connection is in use.
@@ -147,8 +152,9 @@
     return static_cast<std::uint32_t>(running_.size());
   }
   std::size_t queued() const { return queue_.size(); }
-  // Returns the number of connections in use: those of searches, cancels and
-  // the probe, and those closed less than kClosePropagationDelay ago.
+  // Returns the number of connections in use: those of searches, cancel
+  // requests and the probe, and those closed less than kClosePropagationDelay
+  // ago.
   std::uint32_t connections() const {
     return taken_slots() + cancels_ + (probe_sent_ ? 1 : 0);
   }
@@ -216,8 +222,8 @@
   bool stopped_ = false;
   FairQueue queue_;
   std::map<SubqueryId, RunningSearch> running_;
-  // For each connection closed recently, the time until which it counts as
-  // used; ascending.
+  // Times until which each recently closed connection counts as used;
+  // ascending.
   std::deque<MonotonicTime> closed_until_;
   std::uint32_t cancels_ = 0;
   std::optional<MonotonicTime> probe_sent_;
--- a/source/common/owner/backend_health.cc
+++ b/source/common/owner/backend_health.cc
@@ -20,6 +20,7 @@
   return version;
 }
 
+// Reads the shards of each index version into `report`.
 // @return false if the map is malformed.
 bool ReadVersions(const Json& versions, HealthReport& report) {
   if (!versions.is_object()) {
--- a/source/common/owner/backend_health.h
+++ b/source/common/owner/backend_health.h
@@ -1,6 +1,7 @@
 // Parses the answer of a backend's health endpoint, and tracks which index
 // versions the backend holds. The health endpoint lags behind the backend's
-// state and may be wrong; answers to searches are reliable. No I/O.
+// state and may be wrong; answers to searches are reliable. The code does no
+// I/O.
 #pragma once
 
 #include <cstdint>
@@ -23,6 +24,7 @@
   std::map<resources::IndexVersion, std::set<std::string>> index_versions;
 };
 
+// Parses the answer to a probe.
 // @return nothing if the probe failed or the body is malformed.
 std::optional<HealthReport> ParseHealth(
     const net::HttpClientResponse& response);
@@ -38,10 +40,11 @@
  public:
   static constexpr Duration kAnswerPrecedenceWindow = seconds(5);
 
-  // Sets the versions that the previous owner reported; they apply until the
-  // first probe.
+  // Sets the versions that the previous owner reported. These versions apply
+  // until the first answer to a probe.
   void Start(std::set<resources::IndexVersion> held);
 
+  // Updates the held versions after a probe.
   // @param required the shards that the backend must have at each declared
   //   version to count as its holder. Versions not listed are never held.
   void OnHealth(const HealthReport& report, const RequiredShards& required,
--- a/source/common/owner/backend_reply.cc
+++ b/source/common/owner/backend_reply.cc
@@ -77,7 +77,8 @@
   return true;
 }
 
-// @return why the body is not usable; empty if it matches the request.
+// Reads the rows of a 200 body into `reply`.
+// @return why the body is not usable; empty if the body matches the request.
 std::string ReadBody(const std::string& text, const SearchExpectation& expected,
                      BackendReply& reply) {
   Json body = Json::parse(text, nullptr, /*allow_exceptions=*/false);
--- a/source/common/owner/backend_reply.h
+++ b/source/common/owner/backend_reply.h
@@ -1,5 +1,6 @@
 // Interprets a backend's reply to a search, as the table of
-// docs/design/interfaces.md, "Back-end protocol", defines it. No I/O.
+// docs/design/interfaces.md, "Back-end protocol", defines it. The code does no
+// I/O.
 #pragma once
 
 #include <cstdint>
--- a/source/common/owner/circuit_breaker.h
+++ b/source/common/owner/circuit_breaker.h
@@ -1,5 +1,5 @@
-// Stops sending to a backend after consecutive failures, and tries it again
-// after a growing backoff with jitter. No I/O.
+// Stops sending to a backend after consecutive failures, and sends a trial
+// subquery after a growing backoff with jitter. The code does no I/O.
 #pragma once
 
 #include <cstdint>
@@ -26,7 +26,8 @@
   // otherwise.
   void SetMayOpen(bool may_open);
 
-  // Records that the backend answered, with any status.
+  // Closes the breaker and resets the backoff, because the backend answered,
+  // with any status.
   void OnAnswer();
 
   // Records that the connection could not be opened or broke, or that no answer
--- a/source/common/owner/concurrency_limit.h
+++ b/source/common/owner/concurrency_limit.h
@@ -1,5 +1,6 @@
 // Bounds on how many of a backend's slots may be used: AdaptiveLimit after the
-// backend shed subqueries, SlowStart after a cold start or an outage. No I/O.
+// backend shed subqueries, SlowStart after a cold start or an outage. The code
+// does no I/O.
 #pragma once
 
 #include <cstdint>
--- a/source/common/owner/ejection.h
+++ b/source/common/owner/ejection.h
@@ -1,7 +1,7 @@
 // Bounds how many replicas of a partition the circuit breakers may eject at the
-// same time. An owner sees only the breakers of its own backends, so it bounds
-// the share among these; fronts bound it over all replicas of a partition. No
-// I/O.
+// same time. An owner sees only the breakers of its own backends, so the owner
+// bounds the share among these backends; fronts bound the share over all
+// replicas of a partition. The code does no I/O.
 #pragma once
 
 #include <map>
@@ -16,13 +16,15 @@
 // new policy from each view.
 class EjectionPolicy {
  public:
+  // Computes the limits of the owned backends from a view.
   // @param owned names of the backends of this owner.
   EjectionPolicy(const session::FleetView& view,
                  const std::set<std::string>& owned);
 
   // Whether the breaker of `backend` may be open.
-  // @param open names of the backends whose breakers are open now. Of these the
-  //   first by name may stay open, so that not all of them close at once.
+  // @param open names of the backends whose breakers are open now. If more of
+  //   them are open than may be, those with the first names may stay open, so
+  //   that not all breakers close at once.
   bool MayEject(const std::string& backend,
                 const std::set<std::string>& open) const;
 
--- a/source/common/owner/fair_queue.h
+++ b/source/common/owner/fair_queue.h
@@ -1,15 +1,16 @@
 // Queue of the subqueries that wait for a slot of one backend. The queue is
-// fair between request classes; within a class the subquery with the shortest
-// remaining time goes first. No I/O.
+// fair between request classes; within a class, the subquery with the shortest
+// remaining time starts first. The code does no I/O.
 //
 // Between classes the queue follows VirtualClock (L. Zhang, "VirtualClock: A
 // New Traffic Control Algorithm for Packet-Switched Networks", ACM Transactions
 // on Computer Systems 9(2), 1991). Each class has a clock that each start
 // advances by the reciprocal of the class's share of the backend's rate. A
 // clock that lags behind real time is set to real time. The class with the
-// earliest clock goes next, so a class that stays within its share does not
-// wait for one that exceeds its share, and idle slots go to any class with
-// queued subqueries. The queue differs from the paper in three points:
+// earliest clock starts the next subquery, so a class that stays within its
+// share does not wait for one that exceeds its share, and idle slots go to any
+// class with queued subqueries. The queue differs from the paper in three
+// points:
 //  - A clock advances at the start and not at the arrival, so that cancelled,
 //    expired or refused subqueries are not charged.
 //  - A clock is at most kMaximumLead ahead of real time, so that a class that
--- a/source/common/owner/feasibility.h
+++ b/source/common/owner/feasibility.h
@@ -1,5 +1,5 @@
-// Finds queued subqueries that cannot be answered before their deadline. No
-// I/O.
+// Finds queued subqueries that cannot be answered before their deadline. The
+// code does no I/O.
 #pragma once
 
 #include <vector>
--- a/source/common/owner/ownership_tracker.h
+++ b/source/common/owner/ownership_tracker.h
@@ -1,6 +1,6 @@
 // Tracks which backends this daemon owns, which of them it may use already, and
-// up to which revision it has released all others. No I/O. Rules and design
-// choices: docs/design/ownership.md.
+// up to which revision it has released all others. The code does no I/O. Rules
+// and design choices: docs/design/ownership.md.
 //
 //  - This daemon uses a backend that a view assigns to it once every gateway of
 //    the zone has released the revision of that view.
--- a/source/common/owner/service_time.h
+++ b/source/common/owner/service_time.h
@@ -1,4 +1,4 @@
-// Estimates how long a backend takes for a subquery. No I/O.
+// Estimates how long a backend takes for a subquery. The code does no I/O.
 #pragma once
 
 #include "common/base/time.h"
--- a/source/common/routing/admission_limit.cc
+++ b/source/common/routing/admission_limit.cc
@@ -5,8 +5,9 @@
 namespace juniperway::routing {
 namespace {
 
-// The limit grows only while at least this share of it is in use. Otherwise
-// the served queries are no evidence that a higher limit is sustainable.
+// The limit grows only while at least this share of the limit is in use.
+// Otherwise the served queries are no evidence that a higher limit is
+// sustainable.
 constexpr double kUsedShare = 0.5;
 
 }  // namespace
--- a/source/common/routing/admission_limit.h
+++ b/source/common/routing/admission_limit.h
@@ -1,7 +1,6 @@
 // Concurrency limit for the queries that one front runs for one service. During
 // overload without a limit, each shard sheds subqueries of different queries,
-// so that hardly any query gets complete coverage although every backend is
-// busy.
+// so hardly any query gets complete coverage although every backend is busy.
 //
 // The limit is multiplied by kDecreaseFactor when several recent queries ended
 // with too little coverage because saturated backends shed their subqueries.
@@ -46,7 +45,7 @@
   // @param began when OnQueryStarted was called for the query.
   void OnQueryEnded(LoadEvidence end, MonotonicTime began, MonotonicTime now);
 
-  // Return the limit and the number of running queries.
+  // Limit on the running queries, and their number.
   double limit() const { return limit_; }
   std::size_t running() const { return running_; }
 
--- a/source/common/routing/backend_states.h
+++ b/source/common/routing/backend_states.h
@@ -1,11 +1,11 @@
-// What one front has observed of each backend: load, latency, circuit breaker
+// Observations of one front about each backend: load, latency, circuit breaker
 // and drain. The observations come from owners' results and from the attempts
 // that the front itself sends.
 //
 // kFailuresToOpen failures in a row open the breaker of a backend. After a
 // backoff, which doubles with each opening up to kMaximumOpenTime, the breaker
-// admits one probe. A successful probe closes the breaker, a failed one opens
-// it again.
+// admits one probe. A successful probe closes the breaker; a failed one opens
+// the breaker again.
 #pragma once
 
 #include <cstdint>
--- a/source/common/routing/coverage.h
+++ b/source/common/routing/coverage.h
@@ -12,12 +12,13 @@
 // Outcome of one partition's key range.
 struct RangeOutcome {
   KeyRange range;
-  // Empty when the range was searched.
+  // Why the range was not searched; empty when it was searched.
   std::optional<MissingReason> missing;
 };
 
 // Merges adjacent ranges that have the same outcome.
-// @param outcomes sorted, disjoint, together the requested range.
+// @param outcomes outcomes sorted by range. The ranges must be disjoint and
+//   together make up the requested range.
 Coverage MakeCoverage(std::span<const RangeOutcome> outcomes);
 
 }  // namespace juniperway::routing
--- a/source/common/routing/ownership.h
+++ b/source/common/routing/ownership.h
@@ -28,6 +28,7 @@
 // RoutingTable; also used by the owner half of a gateway.
 class OwnershipTable {
  public:
+  // Builds the table of a view.
   // @param previous the table of an earlier view, or null.
   explicit OwnershipTable(session::FleetViewPointer view,
                           const OwnershipTable* previous = nullptr);
--- a/source/common/routing/query_run.h
+++ b/source/common/routing/query_run.h
@@ -42,7 +42,9 @@
   // QueryRun sends nothing when less time than this remains.
   static constexpr Duration kMinimumUsefulTime = microseconds(500);
 
-  // @param front must outlive the run; its view must contain the service.
+  // Creates the run of an admitted query.
+  // @param front state of the front. It must outlive the run, and its view must
+  //   contain the service.
   QueryRun(QueryRequest request, FrontState& front);
 
   // Sends the first subqueries. Called once.
@@ -218,7 +220,7 @@
   // the pinned version any more or the last attempt was refused for that
   // version.
   bool restart_wanted_ = false;
-  // Empty when the query sends no hedges.
+  // Delay after which a hedge is sent; empty when the query sends no hedges.
   std::optional<Duration> hedge_delay_;
   // Longest retry-after that an owner sent for this query.
   Duration retry_after_hint_{};
--- a/source/common/routing/query_types.h
+++ b/source/common/routing/query_types.h
@@ -70,7 +70,8 @@
   Duration retry_after{};
 };
 
-// What the loss of a connection means for the subqueries outstanding on it.
+// Consequence of the loss of a connection for the subqueries outstanding on
+// that connection.
 enum class OwnerConnectionLoss {
   kNothingSent,      // No byte of the subqueries left this process.
   kMayHaveReceived,  // The owner may have received the subqueries.
@@ -161,11 +162,11 @@
 
 using QueryOutcome = std::variant<Answer, Refusal, Abandoned>;
 
-// What the front must do after a call to a QueryRun.
+// Actions that the front must perform after a call to a QueryRun.
 struct Actions {
   std::vector<Batch> batches;
   std::vector<Cancellation> cancellations;
-  // Set exactly once per query, in its last actions.
+  // Outcome of the query, set exactly once per query, in its last actions.
   std::optional<QueryOutcome> outcome;
 };
 
--- a/source/common/routing/replica_selector.cc
+++ b/source/common/routing/replica_selector.cc
@@ -135,7 +135,7 @@
   if (count == 1) {
     return *candidates_[first];
   }
-  // Skips `first`, so that the two candidates differ.
+  // Skips the index `first`, so that the two candidates differ.
   std::size_t second = RandomBelow(count - 1, random);
   if (second >= first) {
     ++second;
--- a/source/common/routing/routing_table.h
+++ b/source/common/routing/routing_table.h
@@ -59,8 +59,8 @@
 bool IsDraining(const std::string& backend, const session::FleetView& view);
 
 // Routes of all services of one view. A table is owned by a FrontState and by
-// the queries that use the table, and is used from one thread. It takes over
-// from the table of the previous view the routes of each service whose
+// the queries that use the table, and is used from one thread. A table takes
+// over from the table of the previous view the routes of each service whose
 // backends, reports, drains and owners did not change.
 class RoutingTable {
  public:
--- a/source/common/routing/zone_owners.h
+++ b/source/common/routing/zone_owners.h
@@ -1,4 +1,4 @@
-// Owners of one zone's backends.
+// Determines the owners of one zone's backends.
 #pragma once
 
 #include <cstdint>
@@ -72,7 +72,7 @@
     std::uint64_t seed = 0;
   };
   struct Owner {
-    // Null when the zone has no gateway.
+    // Gateway that owns the backend; null when the zone has no gateway.
     MemberPointer member;
     std::uint64_t weight = 0;
   };
--- a/test/property/owner/owner_history.h
+++ b/test/property/owner/owner_history.h
@@ -18,13 +18,14 @@
   kStart,       // The owner sent a search, which takes a slot and a connection.
   kEnd,         // The backend answered, or the connection was closed.
   kResult,      // The front received the outcome.
-  kCallBegin,   // A cancel or a probe took a connection.
-  kCallEnd,     // A cancel or a probe released its connection.
+  kCallBegin,   // A cancel request or a probe took a connection.
+  kCallEnd,     // A cancel request or a probe released its connection.
   kDrainKnown,  // A view told the owner that the backend drains.
   kDrainEnded,  // A view told the owner that the drain ended.
 };
 
-// One event of a subquery, cancel, probe or drain at one owner and backend.
+// One event of a subquery, cancel request, probe or drain at one owner and
+// backend.
 struct Event {
   EventKind kind = EventKind::kSubmit;
   MonotonicTime at;
--- a/test/property/owner/owner_property_test.cc
+++ b/test/property/owner/owner_property_test.cc
@@ -97,18 +97,18 @@
     return std::ranges::find(history, kind, &Event::kind);
   };
   History history = world.history;
-  SUBCASE("a result given twice") {
+  SUBCASE("a subquery has two results") {
     history.push_back(*first(history, EventKind::kResult));
   }
-  SUBCASE("a result missing") {
+  SUBCASE("a subquery has no result") {
     history.erase(first(history, EventKind::kResult));
   }
-  SUBCASE("an end that never came") {
+  SUBCASE("the end of a search is missing") {
     // The checker counts the slot of the search as in use from then on, so
     // later searches exceed the backend's slots.
     history.erase(first(history, EventKind::kEnd));
   }
-  SUBCASE("a start after its deadline") {
+  SUBCASE("a search starts at its deadline") {
     const auto start = first(history, EventKind::kStart);
     const auto submit =
         std::ranges::find_if(history, [&start](const Event& event) {
@@ -116,12 +116,12 @@
         });
     submit->deadline = start->at;
   }
-  SUBCASE("a drain known before a start") {
+  SUBCASE("a search starts after the owner knows of a drain") {
     Event drain = *first(history, EventKind::kStart);
     drain.kind = EventKind::kDrainKnown;
     history.insert(first(history, EventKind::kStart), drain);
   }
-  SUBCASE("a search that ran with a result that says not run") {
+  SUBCASE("a search that ran has a result that means not run") {
     const auto rows = std::ranges::find_if(history, [](const Event& event) {
       return event.kind == EventKind::kResult &&
              event.outcome == SubqueryOutcome::kRows;
--- a/test/property/owner/owner_world.cc
+++ b/test/property/owner/owner_world.cc
@@ -63,9 +63,9 @@
 }
 
 // Makes one random change, which is reverted after a while, and schedules the
-// next change. If changes toggled
-// the state, half of the members would be leaving and half of the backends
-// draining at any time, and few searches would run.
+// next change. If changes toggled the state, half of the members would be
+// leaving and half of the backends draining at any time, and few searches would
+// run.
 void World::ChangeSomething() {
   if (random_.Percent(70)) {
     RemoveMember(DrawOwner());
--- a/test/property/owner/zone_control.h
+++ b/test/property/owner/zone_control.h
@@ -32,8 +32,10 @@
   // Makes the next view by applying `change` to a copy of the newest one.
   void Publish(const std::function<void(session::FleetView&)>& change);
 
-  // Processes a heartbeat: adds a sender that is not a member as a member, and
-  // grants or renews the lease of a member that is up to date or renews.
+  // Processes a heartbeat. A sender that is not a member is added to the
+  // members. A member that holds a lease gets a renewal; a member without a
+  // lease gets one if the member has confirmed and released the revisions of
+  // the watermarks.
   // @return whether the lease was granted or renewed.
   bool OnHeartbeat(const Heartbeat& heartbeat, MonotonicTime now);
 
--- a/test/property/owner/zone_owner.h
+++ b/test/property/owner/zone_owner.h
@@ -62,10 +62,10 @@
     std::set<SubqueryId> running = {};
     // Subqueries without a result.
     std::set<SubqueryId> open = {};
-    // Increases when the owner closes all connections. Answers to cancels and
-    // probes of an earlier generation are ignored.
+    // Increases when the owner closes all connections. Answers to cancel
+    // requests and probes of an earlier generation are ignored.
     std::uint64_t generation = 0;
-    // Number of cancels and probes in flight.
+    // Number of cancel requests and probes in flight.
     std::uint32_t calls = 0;
     bool drain_known = false;
   };
--- a/test/property/routing/query_world.cc
+++ b/test/property/routing/query_world.cc
@@ -32,8 +32,8 @@
   bool connected = false;
   bool connecting = false;
   MonotonicTime backoff_until{};
-  // Number of losses of the connection so far. Messages of earlier generations
-  // may be lost.
+  // Number of times that the established connection broke. Messages of earlier
+  // generations may be lost.
   int generation = 0;
   // Functions that send a message once the connection is established.
   std::vector<std::function<void()>> waiting;
@@ -448,8 +448,8 @@
                                   counters.retries + counters.reroutes +
                                   counters.restarted_subqueries;
     Expect(sent_ <= counted, "more subqueries were sent than counted");
-    // Subqueries that backends started beyond the first ones are bounded by the
-    // retry budget and the subqueries of restarts.
+    // The retry budget and the subqueries of restarts bound how many subqueries
+    // backends start in addition to the first ones.
     Expect(static_cast<double>(begun_) <=
                firsts + allowed +
                    static_cast<double>(counters.restarted_subqueries),
--- a/test/property/routing/world_fleet.cc
+++ b/test/property/routing/world_fleet.cc
@@ -11,7 +11,7 @@
   return std::to_string(layout) + "-" + std::to_string(number);
 }
 
-// A snapshot with `layout` partitions of equal width.
+// Returns a snapshot with `layout` partitions of equal width.
 resources::IndexSnapshot MakeSnapshot(resources::IndexVersion version,
                                       int layout) {
   resources::IndexSnapshot snapshot{kService, version, {}};
@@ -55,7 +55,7 @@
   }
 }
 
-// Each backend serves two shards of every partition layout.
+// Adds the backends, each of which serves two shards of every partition layout.
 void WorldFleet::AddBackends() {
   for (int i = 0; i < kBackends; ++i) {
     resources::Backend backend;
--- a/test/unit/owner/backend_gate_test.cc
+++ b/test/unit/owner/backend_gate_test.cc
@@ -36,7 +36,7 @@
   CHECK(Started(cancelled).empty());
   CHECK(gate.running() == 2);
 
-  // The answer to the cancel does not end the search.
+  // The answer to the cancel request does not end the search.
   CHECK(Started(gate.OnCancelDone(At(11))).empty());
   BackendReply stopped;
   stopped.kind = ReplyKind::kNotCompleted;
--- a/test/unit/owner/ejection_test.cc
+++ b/test/unit/owner/ejection_test.cc
@@ -7,7 +7,7 @@
 
 using Names = std::set<std::string>;
 
-// Returns a view of one shard with `replicas` replicas r1, r2, ...
+// Returns a view of one shard whose replicas are named r1, r2 and so on.
 session::FleetView ViewOf(int replicas, double share) {
   session::FleetView view;
   view.services["logs"].maximum_ejected_share = share;
--- a/test/unit/owner/fair_queue_test.cc
+++ b/test/unit/owner/fair_queue_test.cc
@@ -33,7 +33,7 @@
   for (int i = 0; i < 10; ++i) {
     StartNext(queue, At(0));
   }
-  // The quiet class goes first although its subquery has more remaining time.
+  // The quiet class starts first although its subquery has more remaining time.
   queue.Insert(1, At(9000), kQuiet);
   CHECK(StartNext(queue, At(1)) == 1);
 }
--- a/test/unit/routing/query_run_extra_test.cc
+++ b/test/unit/routing/query_run_extra_test.cc
@@ -36,7 +36,7 @@
     CHECK(CancelledIn(last) == std::vector<AttemptId>{first[0].attempt});
     CHECK(test::AnswerIn(last).rows.size() == 1);
   }
-  SUBCASE("the first wins") {
+  SUBCASE("the first attempt wins") {
     const Actions last = fixture.Reply(first[0], test::Rows(first[0]), At(201));
     CHECK(CancelledIn(last) == std::vector<AttemptId>{hedge[0].attempt});
   }
@@ -49,13 +49,13 @@
 
 TEST_CASE("no hedge: switched off, no samples, no budget, or replica busy") {
   QueryFixture fixture({.partitions = 1, .replicas = 2});
-  SUBCASE("switched off") {
+  SUBCASE("hedging is switched off") {
     fixture.RecordLatencySamples(milliseconds(10));
     fixture.service().hedging = false;
     fixture.Start();
   }
-  SUBCASE("no latency samples") { fixture.Start(); }
-  SUBCASE("no budget") {
+  SUBCASE("there are no latency samples") { fixture.Start(); }
+  SUBCASE("the retry budget is empty") {
     fixture.RecordLatencySamples(milliseconds(10));
     fixture.Start();
     fixture.ExhaustRetryBudget();
@@ -135,8 +135,8 @@
 TEST_CASE("hedges stay within the budget share over many queries") {
   QueryFixture fixture({.partitions = 10, .replicas = 2});
   fixture.service().hedge_quantile = 0.5;
-  // Every first subquery takes longer than the recorded latencies, so that each
-  // one becomes due for a hedge.
+  // Every first subquery takes longer than the recorded latencies, so each one
+  // becomes due for a hedge.
   for (int query = 0; query < 300; ++query) {
     fixture.RecordLatencySamples(milliseconds(5));
     const std::int64_t start = 100 * query;
@@ -203,12 +203,12 @@
   }
 }
 
-TEST_CASE("not repeatable: restarts only when no attempt may have run") {
+TEST_CASE("not repeatable queries restart only when no attempt may have run") {
   QueryFixture fixture({.partitions = 2, .replicas = 1});
   fixture.request.repeatable = false;
   const std::vector<Sent> old = SentIn(fixture.Start());
   fixture.ServeNextVersion(2);
-  SUBCASE("the other partition ran") {
+  SUBCASE("the attempt at the other partition ran") {
     fixture.Reply(old[0], test::Rows(old[0]), At(1));
     Actions actions =
         fixture.Reply(old[1], SubqueryOutcome::kWrongSnapshot, At(2));
--- a/test/unit/routing/query_run_test.cc
+++ b/test/unit/routing/query_run_test.cc
@@ -246,7 +246,8 @@
   CHECK(!fixture.run->OnTimer(At(1000)).outcome.has_value());
 }
 
-TEST_CASE("no snapshot served: refused as not run, with a retry-after") {
+TEST_CASE(
+    "without a snapshot, queries are refused as not run with a retry-after") {
   QueryFixture fixture;
   fixture.view.serving.clear();
   const Refusal refusal = test::RefusalIn(fixture.Start());
@@ -255,7 +256,8 @@
   CHECK(refusal.retry_after.has_value());
 }
 
-TEST_CASE("wrong snapshot without another holder: the whole query restarts") {
+TEST_CASE(
+    "after a wrong snapshot without another holder, the whole query restarts") {
   QueryFixture fixture({.partitions = 2, .replicas = 1});
   const std::vector<Sent> old = SentIn(fixture.Start());
   fixture.Reply(old[0], test::Rows(old[0]), At(5));
@@ -283,7 +285,8 @@
         std::vector<MissingRange>{{{200, 300}, MissingReason::kUnreachable}});
 }
 
-TEST_CASE("wrong snapshot at one replica: another holder gets the subquery") {
+TEST_CASE(
+    "if one replica has the wrong snapshot, another holder gets the subquery") {
   QueryFixture fixture({.partitions = 1, .replicas = 2});
   const std::vector<Sent> sent = SentIn(fixture.Start());
   fixture.ServeNextVersion(1);
@@ -294,7 +297,8 @@
   CHECK(SentIn(again)[0].backend != sent[0].backend);
 }
 
-TEST_CASE("wrong snapshot with no newer one yet: waits for a new view") {
+TEST_CASE(
+    "a query refused for its snapshot waits for a view with a newer one") {
   QueryFixture fixture({.partitions = 1, .replicas = 1});
   const std::vector<Sent> sent = SentIn(fixture.Start());
   const Actions waits =
@@ -324,7 +328,7 @@
   }
 }
 
-TEST_CASE("all replicas are draining: refused as draining, not run") {
+TEST_CASE("if all replicas drain, the query is refused as draining, not run") {
   QueryFixture fixture({.partitions = 1, .replicas = 1});
   fixture.view.backends[test::BackendName(0, 0)].drain = true;
   const Refusal refusal = test::RefusalIn(fixture.Start());
