--- a/source/common/control/control_server.h
+++ b/source/common/control/control_server.h
@@ -84,10 +84,10 @@
   // daemon sent the heartbeat.
   Duration lease_duration = seconds(4);
   // Delay between a change of the replicated state and the update that carries
-  // it to the daemons; changes within this time travel in one update.
+  // it to the daemons; one update carries all changes within this time.
   Duration update_delay = milliseconds(10);
-  // Minimum time between two updates to one daemon; changes in quick succession
-  // travel in one update.
+  // Minimum time between two updates to one daemon; one update carries all
+  // changes within this time.
   Duration update_interval = milliseconds(150);
   // How long an API call waits for the leader's answer. After that the API
   // answers 503 when the call was never sent to a leader, and 504 when its
--- a/source/common/control/control_state.cc
+++ b/source/common/control/control_state.cc
@@ -23,7 +23,7 @@
           builder.GetSize()};
 }
 
-// The table in `data`, or null when it is not a valid one.
+// Returns the table in `data`, or null when `data` is not a valid `Table`.
 template <typename Table>
 const Table* Verify(std::string_view data) {
   flatbuffers::Verifier verifier(
--- a/source/common/control/control_state.h
+++ b/source/common/control/control_state.h
@@ -61,18 +61,19 @@
   WallTime wall_time() const { return wall_time_; }
   const FleetStore& fleet() const { return fleet_; }
   const ClaimStore& claims() const { return claims_; }
-  // The first outcome of a change id, or null.
+  // Returns the record of the first outcome of the change with this id, or
+  // null.
   const protocol::ChangeRecordT* FindChange(const std::string& id) const {
     return changes_.Find(id);
   }
 
-  // The update that brings a daemon from revision `from` to this state: the
-  // full state when `from` is 0 or older than the revision log. `from` must not
-  // be above revision().
+  // Returns the update that brings a daemon from revision `from` to this state:
+  // the full state when `from` is 0 or older than the revision log. `from` must
+  // not be above revision().
   protocol::FleetUpdateT UpdateSince(resources::Revision from) const;
 
-  // Resources that changed after `from`; nullopt when `from` is older than the
-  // revision log.
+  // Returns the resources that changed after `from`, or nullopt when `from` is
+  // older than the revision log.
   std::optional<std::vector<resources::ResourceId>> ResourcesChangedSince(
       resources::Revision from) const;
 
--- a/source/common/control/crash_attribution.h
+++ b/source/common/control/crash_attribution.h
@@ -58,8 +58,13 @@
     bool empty() const { return quarantine.empty() && release.empty(); }
   };
 
-  // @param is_listed whether the discovery list contains an incarnation of a
-  //   backend.
+  // Returns the requests to quarantine: those that crashes are attributed to
+  // and whose evidence is unchanged for kEvidenceDelay. Also returns the
+  // requests to release: those whose evidence is unchanged for
+  // kDiscoveryRemovalDelay, with at least one backend that is still listed and
+  // fewer than kMinimumUnexplainedBackends that are not.
+  // @param is_listed returns true if the discovery list contains the backend
+  //   incarnation with this name (session::IncarnationName).
   Judgement Judge(const CrashRecords& records,
                   const std::function<bool(const std::string&)>& is_listed,
                   MonotonicTime now);
--- a/source/common/control/discovery_poller.h
+++ b/source/common/control/discovery_poller.h
@@ -28,11 +28,12 @@
     double calls_per_second = 50;
   };
   struct Ports {
-    // Whether this node is the leader; the poller calls the platform only then.
+    // Returns whether this node is the leader; the poller calls the platform
+    // only then.
     std::function<bool()> is_leading;
     // Receives the whole list after each poll.
     std::function<void(const DiscoveryList&)> on_list;
-    // Receives the numbers of faulty entries after each poll.
+    // Receives the number of entries with each fault after each poll.
     std::function<void(const EntryFaults&)> on_faults;
   };
 
--- a/source/common/control/leader_role.h
+++ b/source/common/control/leader_role.h
@@ -129,12 +129,14 @@
   Ports ports_;
   LeaseTable leases_;
   TenantQuotas tenant_quotas_;
-  // When the pool of each control node was last in the group, by pool name.
+  // By pool name: when the control node that owns the pool was last a member of
+  // the group.
   std::map<std::string, MonotonicTime> pools_;
   CommandPipeline pipeline_;
   // Term of the proposals in the pipeline; 0: none.
   raft::Term pipeline_term_ = 0;
-  // Daemons that the lease table returned for removal, not proposed yet.
+  // Daemons that the lease table returned for removal and whose removal is not
+  // proposed yet.
   std::vector<DaemonKey> removals_;
   bool platform_update_in_flight_ = false;
   bool discovery_update_in_flight_ = false;
--- a/source/common/control/lease_table.h
+++ b/source/common/control/lease_table.h
@@ -140,8 +140,10 @@
     return zone_released_;
   }
 
-  // Does not count an incarnation that a later one of the same daemon has
-  // replaced: its process has ended, although its lease is still valid.
+  // Returns the shares of the daemons with a lease that have confirmed and
+  // released `revision`. A lease of an incarnation that a later incarnation of
+  // the same daemon has replaced does not count: the process of the earlier
+  // incarnation has ended, although its lease is still valid.
   RevisionShares SharesOf(resources::Revision revision) const;
 
   RevisionProgress ProgressOf(resources::Revision revision) const;
--- a/source/common/control/observation_exchange.h
+++ b/source/common/control/observation_exchange.h
@@ -1,4 +1,4 @@
-// Relays the routers' observations of backends between the daemons that have a
+// Relays the routers' observations of backends between the routers that have a
 // session with this control node and the other control nodes. This class adds
 // timers and sending to observation::ObservationRelay, which decides what to
 // relay.
@@ -19,9 +19,9 @@
   using Send =
       std::function<void(const observation::BackendObservations& observations)>;
   struct Ports {
-    // Sends to every other control node.
+    // Sends the observations to every other control node.
     Send send_to_control_nodes;
-    // Sends to every router with a session on this node.
+    // Sends the observations to every router with a session on this node.
     Send send_to_routers;
   };
 
@@ -30,11 +30,11 @@
   ObservationExchange(const ObservationExchange&) = delete;
   ObservationExchange& operator=(const ObservationExchange&) = delete;
 
-  // Takes the report of a daemon with a session on this node.
+  // Handles the report of a daemon with a session on this node.
   void OnReport(const observation::BackendObservations& observations);
-  // Takes the digest of another control node.
+  // Handles the digest of another control node.
   void OnDigest(const observation::BackendObservations& observations);
-  // Relays nothing more.
+  // Stops relaying observations.
   void Stop();
 
  private:
--- a/source/common/control/operation_applier.h
+++ b/source/common/control/operation_applier.h
@@ -1,4 +1,4 @@
-// Applies the single operations of a command to the replicated state. Only
+// Applies the individual operations of a command to the replicated state. Only
 // ControlState uses it, and creates one applier for each command.
 #pragma once
 
--- a/source/common/control/peer_listener.h
+++ b/source/common/control/peer_listener.h
@@ -58,8 +58,8 @@
   void Close();
 
  private:
-  // An accepted connection. `peer` and `session` are unset until the hello;
-  // then one of them is set.
+  // An accepted connection. `peer` and `session` are unset until the hello
+  // frame arrives; the listener then sets one of them.
   struct Inbound {
     Connection connection;
     MonotonicTime accepted;
--- a/source/common/control/peer_network.cc
+++ b/source/common/control/peer_network.cc
@@ -11,8 +11,9 @@
 // Maximum delay between two connection attempts to a peer; each delay is drawn
 // at random from [half of this, this].
 constexpr Duration kReconnectInterval = milliseconds(200);
-// A peer that answers nothing for this long gets new connections: a network
-// path can fail without closing the TCP connection.
+// When a peer answers nothing for this long, this node closes the connections
+// to the peer and opens a new one: a network path can fail without closing the
+// TCP connection.
 constexpr Duration kUnresponsiveTimeout = seconds(2);
 // A connection with this many queued bytes is not used for further frames. The
 // value allows for the largest snapshot, but net::FrameConnection closes a
--- a/source/common/control/peer_network.h
+++ b/source/common/control/peer_network.h
@@ -1,7 +1,8 @@
-// Connections between control nodes. Each node opens one connection to every
-// other node and accepts one from each. A frame is sent on the connection that
-// last received a frame, so an answer takes the connection on which its request
-// arrived. Frames may be lost; consensus and forwarded calls send again.
+// Manages the connections between control nodes. Each node opens one connection
+// to every other node and accepts one from each. A frame is sent on the
+// connection that last received a frame, so an answer is sent on the connection
+// on which its request arrived. Frames may be lost; the consensus module and
+// the sender of a forwarded call send their messages again.
 #pragma once
 
 #include <asio/io_context.hpp>
--- a/source/common/control/raft_driver.h
+++ b/source/common/control/raft_driver.h
@@ -28,7 +28,7 @@
 
 // Whether a snapshot should be taken. The bounds grow with the size of the
 // latest snapshot, so that the cost of writing a large state stays proportional
-// to the log written since.
+// to the log that was written since that snapshot.
 bool IsCompactionDue(const CompactionLimits& limits, std::size_t log_bytes,
                      std::size_t log_entries, std::size_t snapshot_bytes);
 
@@ -38,7 +38,8 @@
 class RaftDriver : public std::enable_shared_from_this<RaftDriver> {
  public:
   struct Callbacks {
-    // Sends messages to the members they name; messages may be lost.
+    // Sends each message to the member that the message names as its receiver.
+    // Messages may be lost.
     std::function<void(std::vector<raft::Message>)> send;
     // Called once for each committed entry, in log order.
     std::function<void(const raft::Entry&)> apply;
@@ -118,7 +119,7 @@
   raft::Index applied_ = 0;
   std::size_t bytes_since_snapshot_ = 0;
   std::size_t entries_since_snapshot_ = 0;
-  // Size of the latest snapshot.
+  // Size of the latest snapshot in bytes.
   std::size_t snapshot_bytes_ = 0;
   bool commit_write_scheduled_ = false;
   // The write that failed because the disk was full; set while suspended.
--- a/source/common/routes/route_table.h
+++ b/source/common/routes/route_table.h
@@ -41,7 +41,8 @@
 // records of the answers.
 struct ScatterTarget {
   std::vector<std::string> shards;
-  // Maximum number of records in the merged answer, which keeps the greatest.
+  // Maximum number of records in the merged answer. The router keeps the
+  // greatest records, which it compares byte by byte.
   std::size_t top_k = 0;
   // Share of the shards (0 to 1) that must answer for the request to succeed.
   double minimum_coverage = 1;
@@ -62,7 +63,7 @@
   Duration timeout{};
   // Latency target for answers; the router places hedges by it.
   Duration target{};
-  // 0 is the highest.
+  // Priority of the route's requests; 0 is the highest.
   std::uint32_t priority = 0;
   // Maximum number of attempts that may run for a request, or for each shard of
   // a scatter.
@@ -86,8 +87,8 @@
   // Time for which a backend stays cold after its start.
   Duration warmup{};
   // Maximum requests per second to a cold backend from all routers together. 0
-  // means no limit: a cold backend is slow but takes as many requests as a warm
-  // one.
+  // means no limit, for services whose cold backends are slow but can take as
+  // many requests as warm ones.
   double cold_requests_per_second = 0;
 
   bool operator==(const RoutedService&) const = default;
--- a/test/integration/control/leader_loss_test.cc
+++ b/test/integration/control/leader_loss_test.cc
@@ -1,6 +1,6 @@
-// Control processes whose leader is killed, paused or loses its quorum. Guards
-// against losing an accepted change, against running a change again that a
-// client sends twice, and against a control node that serves old state or
+// Runs a control group whose leader is killed, paused or loses its quorum.
+// Guards against losing an accepted change, against applying a change twice
+// when a client resends it, and against a control node that serves old state or
 // grants leases after a pause or without a quorum.
 #include <doctest/doctest.h>
 #include <fmt/format.h>
--- a/test/property/control/control_world.cc
+++ b/test/property/control/control_world.cc
@@ -56,7 +56,8 @@
   std::unique_ptr<session::SessionState> state;
   std::uint64_t session = 0;
   std::size_t node = 0;
-  // The confirmed revision, which survives restarts as the session file does.
+  // Revision that the daemon has confirmed. It survives restarts, as in a real
+  // daemon, which stores it in the session file.
   resources::Revision persisted = 0;
   // Revision that the daemon uses, and the one up to which it has released
   // backends.
--- a/test/support/control_group.cc
+++ b/test/support/control_group.cc
@@ -87,7 +87,7 @@
 }
 
 void ControlGroup::Restart(std::size_t position) {
-  // Lets handlers of the old server run out, so that its store is closed.
+  // Runs the remaining handlers of the old server, which keep its store open.
   RunReady(context_);
   Start(position, members_);
 }
