--- a/source/common/control/api_server.h
+++ b/source/common/control/api_server.h
@@ -22,8 +22,8 @@
  public:
   struct Options {
     asio::ip::tcp::endpoint listen;
-    // If empty, the server listens on the loopback interface only, unless
-    // `allow_without_token` is set.
+    // If the token is empty, the server listens on the loopback interface only,
+    // unless `allow_without_token` is set.
     std::string bearer_token;
     // Listens on `listen` even without a token.
     bool allow_without_token = false;
@@ -33,15 +33,15 @@
     std::uint64_t seed = 0;
   };
   struct Ports {
-    // The state that was committed on this node.
+    // Returns the state that was committed on this node.
     std::function<const ControlState&()> state;
-    // Forwards a call to the leader and passes on the leader's answer, or 503
-    // or 504.
+    // Forwards a call to the leader and passes the leader's answer to the
+    // callback, or status 503 or 504 when the leader does not answer.
     std::function<void(ApiCall, MonotonicTime deadline, ApiCallback)>
         forward_to_leader;
     // Answers a read from this node's state, which may lag behind the leader's.
     std::function<net::HttpResponse(const ApiCall&)> read_locally;
-    // This node's own fields of /v1/status.
+    // Returns this node's own fields of /v1/status.
     std::function<nlohmann::json()> describe_node;
     // Creates the content of a backup file.
     std::function<Result<std::string>()> create_backup;
@@ -53,10 +53,10 @@
   asio::ip::tcp::endpoint local_endpoint() const {
     return server_.local_endpoint();
   }
-  // To be called when the state's revision has grown.
+  // The owner calls this when the state's revision has grown.
   void OnStateChanged() { watches_.OnStateChanged(); }
-  // Answers watches whose deadline has passed. To be called a few times a
-  // second.
+  // Answers watches whose deadline has passed. The owner calls this a few times
+  // a second.
   void Tick(MonotonicTime now) { watches_.Tick(now); }
   // Accepts no new connections; calls in flight may still be answered.
   void StopAccepting() { server_.StopAccepting(); }
--- a/source/common/control/change_table.h
+++ b/source/common/control/change_table.h
@@ -23,10 +23,11 @@
 // Change records, in the order of their insertion.
 class ChangeTable {
  public:
-  // The record of a change id, or null.
+  // Returns the record of the change with this id, or null.
   const protocol::ChangeRecordT* Find(const std::string& change_id) const;
 
-  // Adds the first outcome of a change id. Keeps an existing record.
+  // Adds the first outcome of the change with this id. Keeps an existing
+  // record.
   void Insert(protocol::ChangeRecordT&& record);
 
   // Drops records that are kChangeTimeToLive old or older at `now`.
@@ -34,7 +35,7 @@
 
   std::size_t size() const { return changes_.size(); }
 
-  // All records, oldest first.
+  // Returns all records, oldest first.
   std::vector<const protocol::ChangeRecordT*> Records() const;
 
  private:
--- a/source/common/control/claim_store.h
+++ b/source/common/control/claim_store.h
@@ -1,7 +1,7 @@
-// Claims of requests that must run at most once: which daemon claimed a request
-// id first, until when the claim is kept, and the outcome of the request. Part
-// of the replicated state; ControlState owns it. Times are wall times of the
-// state, which never decrease.
+// Stores the claims of requests that must run at most once: which daemon
+// claimed a request id first, until when the store keeps the claim, and the
+// outcome of the request. Part of the replicated state; ControlState owns it.
+// Times are wall times of the state, which never decrease.
 #pragma once
 
 #include <cstddef>
@@ -21,8 +21,8 @@
 // Claims by service and request id.
 class ClaimStore {
  public:
-  // Grants a claim or returns why not. A resend of the same attempt is granted
-  // again as long as the claim has not expired.
+  // Grants a claim or returns the reason for refusing it. A resend of the same
+  // attempt is granted again as long as the claim has not expired.
   // @param now the wall time of the state. A claim whose expiry is not after
   //   `now` is refused, so that an id whose claim has expired is not granted
   //   again.
@@ -38,7 +38,7 @@
 
   std::size_t size() const { return claims_.size(); }
 
-  // All claims as records of a snapshot.
+  // Returns all claims as records of a snapshot.
   std::vector<protocol::ClaimRecordT> Encode() const;
   // Restores a claim from a snapshot.
   void Insert(const protocol::ClaimRecordT& record);
@@ -55,8 +55,8 @@
   void Schedule(Claims::const_iterator claim);
 
   Claims claims_;
-  // Keys of claims by expiry. An entry is stale when its claim was extended
-  // after it was added.
+  // Keys of claims by expiry. An entry is stale when the claim was extended
+  // after the entry was added.
   std::multimap<WallTime, session::ClaimKey> expiries_;
 };
 
--- a/source/common/control/control_metrics.h
+++ b/source/common/control/control_metrics.h
@@ -24,7 +24,7 @@
 
   // Sets the gauges.
   // @param list_age time since this node last read every page of the discovery
-  // list; negative: never.
+  // list; a negative time means that the node has not read it yet.
   void Update(const raft::Status& status, std::uint64_t revision,
               std::uint64_t table_version, std::size_t sessions,
               Duration list_age);
--- a/source/common/control/control_node.h
+++ b/source/common/control/control_node.h
@@ -53,14 +53,14 @@
   // this call.
   void Close();
 
-  // Where the resource API listens.
+  // Returns the address at which the resource API listens.
   asio::ip::tcp::endpoint http_endpoint() const {
     return api_server_->local_endpoint();
   }
   // Replaces ControlServerOptions::seeds after the settings were reloaded.
   void SetSeeds(const std::vector<std::string>& seeds);
 
-  // Where other control nodes and daemons connect.
+  // Returns the address at which other control nodes and daemons connect.
   asio::ip::tcp::endpoint peer_endpoint() const {
     return listener_->local_endpoint();
   }
@@ -88,8 +88,8 @@
   void LogRoleChange(const raft::Status& status);
   void UpdateMembers(const raft::Status& status);
   void OnStateChanged();
-  // The leader's id. Returns this node's id only while this node leads and can
-  // write its store, and kNoNode when no leader is known.
+  // Returns the leader's id. Returns this node's id only while this node leads
+  // and can write its store, and kNoNode when no leader is known.
   raft::NodeId KnownLeader() const;
 
   // --- Messages between control nodes
@@ -139,7 +139,8 @@
   bool flush_scheduled_ = false;
   bool advance_scheduled_ = false;
   bool closed_ = false;
-  // Set during a graceful shutdown; called when the shutdown is complete.
+  // Set during a graceful shutdown. The node calls it when the shutdown is
+  // complete.
   std::function<void()> on_stopped_;
   MonotonicTime stop_deadline_;
 
--- a/source/common/control/control_server.h
+++ b/source/common/control/control_server.h
@@ -93,8 +93,8 @@
   // answers 503 when the call was never sent to a leader, and 504 when its
   // outcome is unknown.
   Duration call_timeout = seconds(5);
-  // A snapshot is taken when the log since the previous one exceeds either of
-  // these; see IsCompactionDue().
+  // The node takes a snapshot when the log since the previous snapshot reaches
+  // either bound; see IsCompactionDue().
   std::size_t compaction_bytes = 16U << 20;
   std::size_t compaction_entries = 20000;
   // Number of entries that remain in the log before a snapshot's index, so that
@@ -129,9 +129,9 @@
   ControlServer(const ControlServer&) = delete;
   ControlServer& operator=(const ControlServer&) = delete;
 
-  // Where the resource API listens.
+  // Returns the address at which the resource API listens.
   asio::ip::tcp::endpoint http_endpoint() const;
-  // Where other control nodes and daemons connect.
+  // Returns the address at which other control nodes and daemons connect.
   asio::ip::tcp::endpoint peer_endpoint() const;
 
   // Replaces the options' seeds.
--- a/source/common/control/control_state.h
+++ b/source/common/control/control_state.h
@@ -22,7 +22,8 @@
 
 namespace juniperway::control {
 
-// With this many claims, the state refuses more (kTooLarge) until some expire.
+// Maximum number of claims. The state refuses further claims (kTooLarge) until
+// some expire.
 inline constexpr std::size_t kMaximumClaims = 2000000;
 // How far the expiry of a claim may exceed the service's maximum_expiry, to
 // allow for the difference between the clocks of the client and the leader.
@@ -80,7 +81,7 @@
  private:
   friend class OperationApplier;
 
-  // Records a change that daemons see under the next revision.
+  // Raises the revision and records under it a change that daemons see.
   void Commit(std::vector<FleetItem> items);
   // Raises the serving versions of these services where NextServingVersion()
   // returns one.
--- a/source/common/control/discovery_page.h
+++ b/source/common/control/discovery_page.h
@@ -19,8 +19,8 @@
 // Backends by id.
 using DiscoveryList = std::map<std::string, session::DiscoveredBackend>;
 
-// Why the parser skips an entry or, for kInvalidStartTime, ignores one field of
-// it.
+// Reason for which the parser skips an entry or, for kInvalidStartTime, ignores
+// one field of the entry.
 enum class EntryFault {
   kUnreadable,        // Is not a JSON object.
   kMissingField,      // A field is missing, or empty.
@@ -36,7 +36,7 @@
     EntryFault::kWrongType,   EntryFault::kUnknownState,
     EntryFault::kBadAddress,  EntryFault::kBadNumber,
     EntryFault::kDuplicateId, EntryFault::kInvalidStartTime};
-// The fault's name in logs and metrics.
+// Returns the fault's name in logs and metrics.
 const char* NameOf(EntryFault fault);
 
 // Number of entries with each fault.
@@ -53,7 +53,8 @@
 // Parses {"backends": [{"id", "service", "address", "zone", "version", "slots",
 // "state": "live" | "leaving", "warmup_left_ms", "born"}], "next_page": "…" |
 // null}. All fields except "born" are required. A backend is cold while its
-// "warmup_left_ms" is above 0. "born" is its start time in Unix milliseconds.
+// "warmup_left_ms" is above 0. "born" is the start time of the backend in Unix
+// milliseconds.
 // @return kInvalidArgument if the page as a whole cannot be parsed, for example
 //   because it is truncated.
 Result<DiscoveryPage> ParseDiscoveryPage(std::string_view text, WallTime now);
@@ -63,9 +64,9 @@
 void MergeDiscoveryPage(DiscoveryPage page, DiscoveryList& list,
                         EntryFaults& faults);
 
-// Combines the known start time of a backend with the one that the list now
-// gives. A listed start time that is missing (zero) or earlier than the known
-// one is ignored.
+// Combines the known start time of a backend with its start time in the latest
+// list. Ignores a listed start time that is missing (zero) or earlier than the
+// known one.
 WallTime CombineStartTimes(WallTime known, WallTime listed);
 
 }  // namespace juniperway::control
--- a/source/common/control/discovery_poller.h
+++ b/source/common/control/discovery_poller.h
@@ -50,8 +50,8 @@
   void RequestPage(const std::string& page);
   void OnAnswer(const net::HttpClientResponse& response);
   void OnFailure(const std::string& reason);
-  // Logs the faults whose number differs from the last poll's, and passes all
-  // numbers on.
+  // Logs each fault whose number of entries differs from that of the last poll,
+  // and passes the numbers of all faults to on_faults.
   void ReportFaults();
   void ScheduleNext(Duration delay);
 
@@ -62,7 +62,7 @@
   // Entries, faults and number of the pages of the current poll.
   DiscoveryList collected_;
   EntryFaults faults_;
-  // Numbers that were logged last.
+  // Numbers of entries with each fault that were logged last.
   EntryFaults logged_faults_;
   std::size_t pages_ = 0;
   MonotonicTime poll_start_;
--- a/source/common/control/fleet_store.h
+++ b/source/common/control/fleet_store.h
@@ -26,12 +26,12 @@
 // Keeps the indexes consistent with the resources.
 class FleetStore {
  public:
-  // The resource, or null.
+  // Returns the resource, or null.
   const resources::Resource* Find(const resources::ResourceId& id) const;
-  // The specification of a resource, or null.
+  // Returns the specification of a resource, or null.
   const resources::Service* FindService(const std::string& name) const;
   const resources::Backend* FindBackend(const std::string& name) const;
-  // The snapshot of a service at an index version, or null.
+  // Returns the snapshot of a service at an index version, or null.
   const resources::IndexSnapshot* FindSnapshot(
       const std::string& service, resources::IndexVersion version) const;
 
@@ -43,19 +43,21 @@
       const {
     return resources_;
   }
-  // Names of the Backend resources of a service.
+  // Returns the names of the Backend resources of a service.
   const std::set<std::string>& BackendsOf(const std::string& service) const;
-  // Snapshots of a service: index version to resource name.
+  // Returns the snapshots of a service as a map from index version to resource
+  // name.
   const std::map<resources::IndexVersion, std::string>& SnapshotsOf(
       const std::string& service) const;
-  // Name of the Backend resource with this address, or empty.
+  // Returns the name of the Backend resource with this address, or an empty
+  // string.
   std::string BackendAt(const std::string& address) const;
 
   // Whether the operator, the platform or the backend itself has requested that
   // the backend gets no new work.
   bool IsDraining(const std::string& backend) const;
-  // Number of discovered backends of a service with this version that do not
-  // drain.
+  // Counts the discovered backends of a service that have this version and do
+  // not drain.
   std::size_t CountDiscovered(const std::string& service,
                               const std::string& version) const;
   // Whether the daemon itself, the platform or the operator has requested that
@@ -67,7 +69,8 @@
   std::map<std::string, session::Member> members;
   std::map<std::string, session::BackendReport> reports;
   std::map<std::string, resources::IndexVersion> serving;
-  // Highest index version ever published, by service; outlives the service.
+  // Highest index version ever published, by service. The entry remains when
+  // the service is deleted.
   std::map<std::string, resources::IndexVersion> published;
   std::set<std::string> platform_leaving;
   StoredRouteTable route_table;
--- a/source/common/control/join_client.h
+++ b/source/common/control/join_client.h
@@ -30,8 +30,8 @@
 
   // Sends a request when one is due. The caller calls this several times a
   // second.
-  // @param is_member this node is in the group's configuration.
-  // @param knows_leader a leader is known, or this node leads.
+  // @param is_member whether this node is in the group's configuration.
+  // @param knows_leader whether a leader is known or this node leads.
   void Tick(MonotonicTime now, bool is_member, bool knows_leader);
 
  private:
--- a/source/common/control/leader_client.h
+++ b/source/common/control/leader_client.h
@@ -27,11 +27,12 @@
     // Returns the leader's id, or kNoNode when none is known. Returns this
     // node's id only while this node leads.
     std::function<raft::NodeId()> leader;
-    // Run a call on this node. The callback gets kNotLeader or kUnavailable, or
-    // status 503 for an API call, when the call must be sent again.
+    // Runs a call on this node. The callback gets kNotLeader or kUnavailable,
+    // or status 503 for an API call, when the call must be sent again.
     std::function<void(Operations, OperationsCallback)> run_operations;
     std::function<void(const ApiCall&, ApiCallback)> run_call;
-    // Send a call to another node. @return false when no connection is open.
+    // Sends a call to another node, or returns false when no connection is
+    // open.
     std::function<bool(raft::NodeId, protocol::ForwardOperationsT)>
         send_operations;
     std::function<bool(raft::NodeId, protocol::ForwardCallT)> send_call;
@@ -45,11 +46,11 @@
   // or kDeadlineExceeded (their outcome is unknown).
   void Submit(Operations operations, MonotonicTime deadline,
               OperationsCallback callback);
-  // Runs an API call on the leader; status 503 and 504 stand for the two errors
-  // of Submit().
+  // Runs an API call on the leader. The callback gets status 503 or 504 where
+  // Submit() gives kUnavailable or kDeadlineExceeded.
   void Call(ApiCall call, MonotonicTime deadline, ApiCallback callback);
 
-  // Handle the leader's answer to a forwarded call.
+  // Handles the leader's answer to a forwarded call.
   void OnReply(const protocol::ForwardOperationsReplyT& reply);
   void OnReply(const protocol::ForwardCallReplyT& reply);
 
--- a/source/common/control/leader_role.h
+++ b/source/common/control/leader_role.h
@@ -38,13 +38,15 @@
     std::function<Result<raft::Fsm::Proposal>(raft::NodeId)> promote_learner;
     // Called only when member repair is enabled.
     std::function<Result<raft::Fsm::Proposal>(raft::NodeId)> remove_member;
-    // Publishes the watermarks to the group after one grew.
+    // Publishes the watermarks to the group after one of them has grown.
     std::function<void(resources::Revision in_force,
                        const std::map<std::string, resources::Revision>& zones)>
         announce;
-    // Operations were queued. The owner calls FlushOperations() soon.
+    // Notifies the owner that operations were queued. The owner calls
+    // FlushOperations() soon.
     std::function<void()> on_queued;
-    // A watermark may have grown. The owner calls Advance() soon.
+    // Notifies the owner that a watermark may have grown. The owner calls
+    // Advance() soon.
     std::function<void()> on_watermark_change;
   };
 
@@ -72,7 +74,8 @@
   void Update(const raft::Status& status, MonotonicTime now);
 
   // Handles an applied log entry.
-  // @param applied the effect of its command; empty for entries without one.
+  // @param applied the effects of the entry's command; empty for an entry
+  //   without a command.
   void OnApplied(const raft::Entry& entry, AppliedCommand applied,
                  MonotonicTime now);
 
@@ -108,8 +111,8 @@
       const protocol::MemberHeartbeatT& item, MonotonicTime now);
   // Records that the pools of the group's control nodes exist at `now`.
   void RecordPools(const raft::Status& status, MonotonicTime now);
-  // Pools that may hold tokens: those of the group's control nodes, and of
-  // control nodes that left the group less than two rate leases ago.
+  // Returns the pools that may hold tokens: those of the group's control nodes,
+  // and of control nodes that left the group less than two rate leases ago.
   std::set<std::string> PoolsWithTokens(MonotonicTime now) const;
   protocol::HeartbeatReplyT AnswerPool(const protocol::MemberHeartbeatT& item,
                                        MonotonicTime now);
@@ -133,7 +136,7 @@
   // the group.
   std::map<std::string, MonotonicTime> pools_;
   CommandPipeline pipeline_;
-  // Term of the proposals in the pipeline; 0: none.
+  // Term of the proposals in the pipeline; 0 if there are none.
   raft::Term pipeline_term_ = 0;
   // Daemons that the lease table returned for removal and whose removal is not
   // proposed yet.
@@ -150,8 +153,8 @@
   // Highest watermarks that this or another leader announced.
   resources::Revision announced_in_force_ = 0;
   std::map<std::string, resources::Revision> announced_zones_;
-  // False after destruction; callbacks check it, because they may outlive this
-  // object.
+  // False after destruction. Callbacks check the value, because they may
+  // outlive this object.
   std::shared_ptr<bool> alive_;
 };
 
--- a/source/common/control/lease_table.h
+++ b/source/common/control/lease_table.h
@@ -52,13 +52,13 @@
   std::uint64_t term = 0;
   // The daemon's lease was valid when it sent the heartbeat.
   bool holds_lease = false;
-  // Watermarks that any leader announced to the daemon. A new leader adopts
-  // them.
+  // Watermarks that any leader announced to the daemon. A new leader raises its
+  // own watermarks to them.
   resources::Revision known_in_force = 0;
   resources::Revision known_zone_released = 0;
 };
 
-// Whether a heartbeat got a lease, or why it did not.
+// Whether the table granted a lease for a heartbeat, or why it refused.
 enum class GrantOutcome {
   kGranted,
   kNotMember,
@@ -121,7 +121,7 @@
 
   // Records a heartbeat and grants or refuses a lease of options.lease.
   GrantOutcome OnHeartbeat(const HeartbeatFacts& facts, MonotonicTime now);
-  // The daemon has shut down and released its lease.
+  // Handles that the daemon has shut down and released its lease.
   void OnGoodbye(const DaemonKey& daemon);
 
   // Drops expired leases and advances the watermarks.
@@ -134,7 +134,8 @@
   std::vector<DaemonKey> TakeRemovals(MonotonicTime now);
 
   resources::Revision in_force() const { return in_force_; }
-  // Watermark of a zone, or the revision of the state for an unknown zone.
+  // Returns the watermark of a zone, or the revision of the state for an
+  // unknown zone.
   resources::Revision zone_released(const std::string& zone) const;
   const std::map<std::string, resources::Revision>& zones() const {
     return zone_released_;
--- a/source/common/control/observation_exchange.h
+++ b/source/common/control/observation_exchange.h
@@ -1,7 +1,7 @@
 // Relays the routers' observations of backends between the routers that have a
 // session with this control node and the other control nodes. This class adds
-// timers and sending to observation::ObservationRelay, which decides what to
-// relay.
+// timers and network I/O to observation::ObservationRelay, which decides what
+// to relay.
 #pragma once
 
 #include <asio/io_context.hpp>
--- a/source/common/control/operation_applier.cc
+++ b/source/common/control/operation_applier.cc
@@ -27,7 +27,7 @@
   return item;
 }
 
-// The service whose serving version may change with this resource.
+// Returns the service whose serving version may change with this resource.
 std::string ServiceOf(const Resource& resource) {
   if (const auto* backend =
           std::get_if<resources::Backend>(&resource.specification)) {
--- a/source/common/control/operation_applier.h
+++ b/source/common/control/operation_applier.h
@@ -17,7 +17,7 @@
 
   protocol::OperationResultT Apply(const protocol::OperationUnion& operation);
 
-  // Daemons whose membership the operations so far have changed.
+  // Returns the daemons whose membership the operations so far have changed.
   std::set<std::string> TakeChangedMembers() {
     return std::move(changed_members_);
   }
@@ -54,12 +54,14 @@
   void SetEvacuation(const protocol::SetZoneEvacuationT& operation);
 
   void Judge(const protocol::JudgeCrashesT& operation);
-  // Evicts one record: the one with the oldest report, quarantined ones last.
+  // Evicts the crash record with the oldest report. Evicts a quarantined record
+  // only when there are no others.
   void EvictOldestCrash();
   void CommitCrash(RequestFingerprint request);
 
-  // The first outcome of a change id that was applied before. It is an error
-  // when that change had another digest.
+  // Returns the first outcome of the change with this id if the change was
+  // applied before. The outcome is an error when that change had another
+  // digest.
   std::optional<Outcome> FindFirstOutcome(const std::string& change_id,
                                           std::uint64_t digest) const;
   void RecordChange(const std::string& change_id, std::uint64_t digest,
@@ -68,7 +70,7 @@
 
   Outcome WriteSet(std::vector<resources::Resource> set);
   Outcome Erase(const resources::ResourceId& id, resources::Revision version);
-  // Success at the current revision of the state.
+  // Returns success at the current revision of the state.
   Outcome Done() const;
   Outcome Refuse(const Error& error) const;
   // Adds the current resources to an outcome, so that the operator sees which
--- a/source/common/control/peer_listener.h
+++ b/source/common/control/peer_listener.h
@@ -1,5 +1,5 @@
 // Accepts connections from other control nodes and from daemons. The first
-// frame of a connection (PeerHello or SessionHello) tells which of the two has
+// frame of a connection (PeerHello or SessionHello) shows which of the two has
 // connected and to which cluster the sender belongs.
 #pragma once
 
@@ -20,19 +20,21 @@
 
 // Owned by ControlNode; passes accepted connections and their frames to the
 // ports. Owns each connection until it closes; on_peer_connected and
-// open_session get a share of the ownership.
+// open_session share the ownership of their connection.
 class PeerListener {
  public:
   using Connection = std::shared_ptr<net::FrameConnection>;
 
   struct Ports {
-    // Called when a control node has connected, then for each of its frames.
+    // The listener calls the first port when a control node has connected, and
+    // the second for each of the node's frames.
     std::function<void(const protocol::PeerHelloT&, Connection)>
         on_peer_connected;
     std::function<void(raft::NodeId, net::FrameBytes, const Connection&)>
         on_peer_frame;
     // Opens a daemon's session and returns the session's id, or 0 when the
-    // session is refused. Then called for each of its frames and at its end.
+    // session is refused. The listener then calls the next two ports for each
+    // frame of the session and at the end of the session.
     std::function<std::uint64_t(const Connection&,
                                 const protocol::SessionHelloT&)>
         open_session;
--- a/source/common/control/peer_network.h
+++ b/source/common/control/peer_network.h
@@ -44,7 +44,7 @@
   void SetPeers(const std::vector<raft::Member>& members);
 
   // Adds a connection that another control node opened and whose hello was
-  // accepted; replaces and closes that node's earlier one.
+  // accepted. Closes the earlier connection that the same node opened.
   void AddIncomingConnection(raft::NodeId from,
                              std::shared_ptr<net::FrameConnection> connection);
   // Handles a frame that was received on `connection`.
@@ -66,7 +66,8 @@
                   std::move(message));
   }
 
-  // Bytes queued on the open connections to that node.
+  // Returns the number of bytes that are queued on the open connections to that
+  // node.
   std::size_t QueuedBytes(raft::NodeId to) const;
 
   // Closes the connections of unresponsive nodes and opens missing ones. The
@@ -91,8 +92,8 @@
     MonotonicTime next_attempt = MonotonicTime::min();
     Path outgoing;
     Path incoming;
-    // When the first frame that awaits an answer was sent since the peer's
-    // latest frame, on either path.
+    // Time at which this node sent the first frame that awaits an answer and
+    // that follows the peer's latest frame, on either path.
     MonotonicTime unanswered_since = MonotonicTime::max();
   };
 
--- a/source/common/control/raft_driver.h
+++ b/source/common/control/raft_driver.h
@@ -18,8 +18,9 @@
 namespace juniperway::control {
 
 struct CompactionLimits {
-  // A snapshot is taken when the log since the previous one reaches either
-  // `bytes` or `entries`, or the higher bounds of IsCompactionDue().
+  // The driver takes a snapshot when the log since the previous snapshot
+  // reaches either `bytes` or `entries`, or the higher bounds of
+  // IsCompactionDue().
   std::size_t bytes = 0;
   std::size_t entries = 0;
   // Number of entries that remain in the store before the snapshot's index.
--- a/source/common/control/rate_pool.h
+++ b/source/common/control/rate_pool.h
@@ -54,14 +54,15 @@
   std::string name_;
   std::uint64_t incarnation_;
   quota::RateLeases leases_;
-  // The tokens of at least one key run low.
+  // Whether the tokens of at least one key run low.
   bool is_low_on_tokens_ = false;
-  // At least one router has requested tokens.
+  // Whether at least one router has requested tokens.
   bool has_requests_ = false;
   std::uint64_t term_ = 0;
   std::uint64_t last_sequence_ = 0;
   MonotonicTime last_report_ = MonotonicTime::min();
-  // When reports were sent, by sequence number; for one rate lease.
+  // Times at which the pool sent its reports, by sequence number. The pool
+  // keeps each for the duration of one rate lease.
   std::map<std::uint64_t, MonotonicTime> sent_;
 };
 
--- a/source/common/control/resource_api.h
+++ b/source/common/control/resource_api.h
@@ -21,14 +21,14 @@
 class ResourceApi {
  public:
   struct Ports {
-    // The state that was committed on this node.
+    // Returns the state that was committed on this node.
     std::function<const ControlState&()> state;
     std::function<const LeaseTable&()> leases;
     std::function<const rollout::RolloutJudge&()> rollouts;
     // Bounds the requests that the fleet may send to bad canaries.
     rollout::ExposureLimit exposure;
     std::function<raft::Status()> raft_status;
-    // Whether this node is the leader and its reads are linearizable.
+    // Returns whether this node is the leader and its reads are linearizable.
     std::function<bool()> is_leading;
     // Replicates operations and passes on their results.
     std::function<void(Operations, CommandPipeline::Callback)> submit;
@@ -39,7 +39,7 @@
 
   explicit ResourceApi(Ports ports) : ports_(std::move(ports)) {}
 
-  // Answers any call; 503 unless this node is the leader.
+  // Answers any call. The answer has status 503 unless this node is the leader.
   void Handle(const ApiCall& call, const ApiCallback& answer) const;
 
   // Answers a read from this node's state, which may lag behind the leader's.
@@ -56,7 +56,7 @@
               const std::string& name, const ApiCallback& answer) const;
   net::HttpResponse GetRouteTable() const;
   void PutRouteTable(const ApiCall& call, const ApiCallback& answer) const;
-  // @param evacuated false: ends the evacuation.
+  // @param evacuated true starts the evacuation, false ends it.
   void SetEvacuation(const ApiCall& call, const std::string& zone,
                      bool evacuated, const ApiCallback& answer) const;
   net::HttpResponse ListEvacuations() const;
@@ -93,15 +93,15 @@
 // same change id.
 std::uint64_t DigestOf(const ApiCall& call);
 
-// Sets the field of an error that names none, because it concerns the whole
-// body, to "body".
+// Sets the field of `error` to "body" if the error names no field because the
+// whole body is wrong.
 Error WithBodyField(Error error);
 
 // Encodes `body` as the body of an answer.
 net::HttpResponse JsonResponse(int status, const nlohmann::json& body);
 
-// The answer to a call that failed without any effect, with the HTTP status of
-// the error's code.
+// Makes the answer to a call that failed without any effect. The answer has the
+// HTTP status of the error's code.
 net::HttpResponse FailureResponse(const Error& error);
 
 }  // namespace juniperway::control
--- a/source/common/control/revision_log.h
+++ b/source/common/control/revision_log.h
@@ -50,8 +50,8 @@
   auto operator<=>(const FleetItem&) const = default;
 };
 
-// An item that its kind and name identify; for all kinds except kResource and
-// kCrashingRequest.
+// Makes an item that its kind and name identify, which holds for all kinds
+// except kResource and kCrashingRequest.
 FleetItem NamedItem(FleetItem::Kind kind, const std::string& name);
 
 // Changes of the most recent revisions, oldest first.
@@ -63,11 +63,12 @@
   // Drops all records. The next record must follow `revision`.
   void Reset(resources::Revision revision);
 
-  // Records the items that changed at `revision`, which follows the last one.
+  // Records the items that changed at `revision`, which must follow the last
+  // recorded revision.
   void Record(resources::Revision revision, std::vector<FleetItem> items);
 
-  // All items that changed after `from`; nullopt when the log does not reach
-  // back to `from`.
+  // Returns all items that changed after `from`, or nullopt when the log does
+  // not reach back to `from`.
   std::optional<std::set<FleetItem>> ItemsSince(resources::Revision from) const;
 
  private:
--- a/source/common/control/serving_rule.cc
+++ b/source/common/control/serving_rule.cc
@@ -7,7 +7,7 @@
 namespace juniperway::control {
 namespace {
 
-// For each shard, the number of backends that can answer at `version`.
+// Counts, for each shard, the backends that can answer at `version`.
 std::map<std::string, std::uint32_t> CountHolders(
     const FleetStore& store, const std::string& service,
     resources::IndexVersion version) {
--- a/source/common/control/serving_rule.h
+++ b/source/common/control/serving_rule.h
@@ -16,8 +16,8 @@
 bool HasRequiredHolders(const FleetStore& store, const std::string& service,
                         resources::IndexVersion version);
 
-// The highest index version above the serving one that has its required
-// holders, if there is one.
+// Returns the highest index version above the serving version that has its
+// required holders, if there is one.
 std::optional<resources::IndexVersion> NextServingVersion(
     const FleetStore& store, const std::string& service);
 
--- a/source/common/control/session_server.h
+++ b/source/common/control/session_server.h
@@ -1,6 +1,6 @@
-// The sessions of the daemons that are connected to this control node. A daemon
-// may connect to any control node: the node forwards heartbeats and operations
-// to the leader and makes updates from its own committed state.
+// Manages the sessions of the daemons that are connected to this control node.
+// A daemon may connect to any control node: the node forwards heartbeats and
+// operations to the leader and makes updates from its own committed state.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -42,12 +42,12 @@
 class SessionServer {
  public:
   struct Ports {
-    // The state that was committed on this node.
+    // Returns the state that was committed on this node.
     std::function<const ControlState&()> state;
     // Forwards heartbeats to the leader, whose replies arrive in OnReplies.
     // @return false if no leader is reachable.
     std::function<bool(Heartbeats)> forward_heartbeats;
-    // Forwards to the leader that a daemon has stopped and released its lease.
+    // Notifies the leader that a daemon has stopped and released its lease.
     std::function<void(const DaemonKey&)> forward_goodbye;
     // Receives the observations of backends that a daemon reports.
     std::function<void(const observation::BackendObservations&)>
@@ -83,11 +83,12 @@
   void SetControlMembers(const std::vector<raft::Member>& members);
   // Sets the zone and region of a control node, which need not be a member yet.
   void SetControlPlace(raft::NodeId node, const Place& place);
-  // To be called when the state's revision has grown.
+  // The owner calls this when the state's revision has grown.
   void OnStateChanged();
 
   // Answers heartbeats that the leader has not answered in time, and closes
-  // sessions of unresponsive daemons. To be called a few times a second.
+  // sessions of unresponsive daemons. The owner calls this a few times a
+  // second.
   void Tick(MonotonicTime now);
   void Stop();
 
@@ -100,8 +101,8 @@
     // Revision that was last sent to the daemon.
     resources::Revision sent_revision = 0;
     // Revision that the daemon uses. While it is below `sent_revision`, an
-    // update is in flight and no other is sent, so that a slow daemon gets
-    // fewer, larger updates.
+    // update is in flight and this node sends no other, so that a slow daemon
+    // gets fewer, larger updates.
     resources::Revision confirmed_revision = 0;
     // The daemon ignores updates to revisions below this.
     resources::Revision minimum_revision = 0;
@@ -124,8 +125,8 @@
   // heartbeats that arrive together share one message.
   void ScheduleFlush();
   void FlushHeartbeats();
-  // Sends the router rate tokens from the pool, and takes what the pool granted
-  // out of the heartbeat.
+  // Sends the router rate tokens from the pool, and subtracts the granted
+  // tokens from the request in the heartbeat.
   void GrantFromPool(const Session& session, protocol::HeartbeatT& heartbeat);
   // Sends the addresses of the control nodes to every daemon after a delay.
   void ScheduleControlMembersAnnouncement();
--- a/source/common/control/snapshot_parts.h
+++ b/source/common/control/snapshot_parts.h
@@ -19,13 +19,14 @@
     const raft::Message& message, std::size_t part_bytes,
     const std::function<void(protocol::SnapshotPartT)>& on_part);
 
-// Assembles snapshots from their parts, one per sender at a time; owned by
-// ControlNode. Parts arrive in order, but a lost connection can interrupt a
-// transfer, after which the sender starts again at the first part.
+// Assembles snapshots from their parts, one snapshot per sender at a time.
+// ControlNode owns the object. Parts arrive in order, but a lost connection can
+// interrupt a transfer, after which the sender starts again at the first part.
 class SnapshotAssembler {
  public:
   // @return the complete message when `part` was its last part. A part that
-  // does not continue the sender's transfer discards what was collected.
+  //   does not continue the sender's transfer makes the assembler discard the
+  //   parts that it has collected from that sender.
   std::optional<raft::Message> Add(raft::NodeId from,
                                    const protocol::SnapshotPartT& part);
 
--- a/source/common/control/store_restore.h
+++ b/source/common/control/store_restore.h
@@ -16,9 +16,10 @@
 namespace juniperway::control {
 
 // Number of revisions that a restored store skips. Daemons may have confirmed
-// revisions that were made after the backup and are lost with it, and they
-// refuse older configurations, so these revisions must not be used again for
-// other changes. At 3,400 changes a day this covers several months.
+// revisions that the old group created after the backup and that the restored
+// store lacks. Daemons refuse older configurations, so these revisions must not
+// be used again for other changes. At 3,400 changes a day this covers several
+// months.
 inline constexpr resources::Revision kSkippedRevisions = 1'000'000;
 
 // Returns the state after applying every entry of a backup, including entries
--- a/source/common/control/tenant_quotas.h
+++ b/source/common/control/tenant_quotas.h
@@ -1,6 +1,6 @@
 // Grants shares of the tenants' rate limits to routers and pools. The limits
-// come from the stored route table; quota/rate_granter.h keeps account of what
-// is leased. LeaderRole owns it.
+// come from the stored route table; quota/rate_granter.h keeps account of the
+// leased rates. LeaderRole owns it.
 #pragma once
 
 #include <cstdint>
@@ -40,7 +40,7 @@
   void UpdateLimits(const StoredRouteTable& table, MonotonicTime now);
 
   quota::RateGranter granter_;
-  // Version of the route table that was last read; 0: none.
+  // Version of the route table that was last read; 0 if none was.
   std::uint64_t table_version_ = 0;
 };
 
--- a/source/common/control/update_builder.h
+++ b/source/common/control/update_builder.h
@@ -12,7 +12,7 @@
 
 namespace juniperway::control {
 
-// Encodes that a service serves an index version.
+// Encodes the index version that a service serves.
 std::unique_ptr<protocol::ServingVersionT> MakeServing(
     const std::string& service, resources::IndexVersion version);
 
--- a/source/common/control/watch_list.h
+++ b/source/common/control/watch_list.h
@@ -1,6 +1,6 @@
-// The pending calls of /v1/watch, which wait until a resource changes. Every
-// control node answers them from its own committed state, whose revision never
-// decreases.
+// Holds the pending calls of /v1/watch, which wait until a resource changes.
+// Every control node answers these calls from its own committed state, whose
+// revision never decreases.
 #pragma once
 
 #include <functional>
@@ -19,15 +19,15 @@
       : state_(std::move(state)) {}
 
   // Answers at once if a resource has changed after revision `from`. Otherwise
-  // answers when one changes, or with no items at `deadline`. Answers 410 if
-  // the changes since `from` are no longer kept, or if this node has not
+  // answers when a resource changes, or with no items at `deadline`. Answers
+  // 410 if the changes since `from` are no longer kept, or if this node has not
   // reached revision `from` by `deadline`.
   void Add(resources::Revision from, MonotonicTime deadline,
            ApiCallback answer);
-  // To be called when the state's revision has grown.
+  // The owner calls this when the state's revision has grown.
   void OnStateChanged();
-  // Answers watches whose deadline has passed. To be called a few times a
-  // second.
+  // Answers watches whose deadline has passed. The owner calls this a few times
+  // a second.
   void Tick(MonotonicTime now);
 
  private:
--- a/source/common/routes/home_regions.h
+++ b/source/common/routes/home_regions.h
@@ -20,7 +20,7 @@
   explicit HomeRegions(std::set<std::string> regions)
       : regions_(std::move(regions)), limited_(!regions_.empty()) {}
 
-  // Returns the regions that both allow, which may be none at all.
+  // Returns the regions that both sets allow, which may be none at all.
   static HomeRegions Intersection(const HomeRegions& left,
                                   const HomeRegions& right) {
     if (!left.limited_ || !right.limited_) {
--- a/source/common/routes/route_index.h
+++ b/source/common/routes/route_index.h
@@ -12,7 +12,8 @@
 
 namespace juniperway::routes {
 
-// Built once per route table, which it shares with its other users.
+// Built once per route table. Shares the ownership of the table with the
+// table's other users.
 class RouteIndex {
  public:
   explicit RouteIndex(RouteTablePointer table);
--- a/test/integration/control/control_server_test.cc
+++ b/test/integration/control/control_server_test.cc
@@ -1,6 +1,6 @@
-// Three control servers over TCP: every server serves a change that one of them
-// accepted, and the change comes in force when the daemons confirm it through
-// their sessions.
+// Runs three control servers over TCP: every server serves a change that one of
+// them accepted, and the change comes in force when the daemons confirm it
+// through their sessions.
 #include "common/control/control_server.h"
 
 #include <doctest/doctest.h>
--- a/test/integration/control/leader_loss_test.cc
+++ b/test/integration/control/leader_loss_test.cc
@@ -32,7 +32,7 @@
   return resource;
 }
 
-// The index of a control node in ControlAddresses(): 1 for "control-2".
+// Returns the index of a control node in ControlAddresses(): 1 for "control-2".
 std::size_t PositionOf(const std::string& node) {
   return std::stoul(node.substr(node.find('-') + 1)) - 1;
 }
--- a/test/integration/control/members_test.cc
+++ b/test/integration/control/members_test.cc
@@ -1,6 +1,7 @@
-// Membership changes: a control node joins and becomes a voter when it has
-// caught up, the leader is removed or shut down gracefully, and an unresponsive
-// daemon is removed. Also watches and backups, which every control node serves.
+// Tests membership changes: a control node joins and becomes a voter when it
+// has caught up, the leader is removed or shut down gracefully, and an
+// unresponsive daemon is removed. Also tests watches and backups, which every
+// control node serves.
 #include <doctest/doctest.h>
 #include <fmt/format.h>
 
--- a/test/property/control/control_world.cc
+++ b/test/property/control/control_world.cc
@@ -41,7 +41,7 @@
   // Role and term as the node knows them; they may be out of date.
   bool leads = false;
   raft::Term term = 0;
-  // Partitioned or paused: the node neither receives nor sends.
+  // The node is partitioned or paused: it neither receives nor sends.
   bool unreachable = false;
   bool paused = false;
   MonotonicTime unreachable_since;
@@ -83,7 +83,8 @@
     daemon->zone = number % 2 == 0 ? "even" : "odd";
     const double drift =
         options.defect == Defect::kExcessiveClockDrift ? 0.4 : kDrift;
-    // Every third clock runs at the lower bound, where a wrong bound shows.
+    // Every third clock runs at the lower bound, so that a wrong bound violates
+    // a guarantee.
     daemon->clock_rate = number % 3 == 0 ? 1.0 - drift : 1.0 + drift / 2;
     daemons_.push_back(std::move(daemon));
   }
--- a/test/property/control/control_world.h
+++ b/test/property/control/control_world.h
@@ -48,7 +48,7 @@
 };
 
 struct WorldReport {
-  // The violated guarantee; empty: none.
+  // The violated guarantee; empty if there is none.
   std::string violation;
   // Numbers of events in the run, which show that it exercised the faults.
   std::uint64_t leaders = 0;
--- a/test/property/control/state_test.cc
+++ b/test/property/control/state_test.cc
@@ -1,7 +1,7 @@
 // Runs seeded histories of changes, resends, concurrent writes, claims and
 // snapshots on the replicated state and compares them with a simple model of
 // the guarantees. Each defect disables a mechanism, and the check must detect
-// it.
+// the defect.
 #include <doctest/doctest.h>
 #include <fmt/format.h>
 
@@ -43,7 +43,7 @@
  public:
   History(std::uint64_t seed, Defect defect) : random_(seed), defect_(defect) {}
 
-  // @return the violated guarantee; empty: none.
+  // @return the violated guarantee; empty if there is none.
   std::string Run() {
     ApplyService("setup", kOnce, 0, 0);
     for (int step = 0; step < kSteps && violation_.empty(); ++step) {
--- a/test/property/control/watermark_test.cc
+++ b/test/property/control/watermark_test.cc
@@ -1,6 +1,6 @@
 // Checks that the watermarks `in force` and `zone released` are never announced
 // too early under any faults. Each defect disables a mechanism that this
-// depends on, and the check must detect it.
+// guarantee depends on, and the check must detect the defect.
 #include <doctest/doctest.h>
 
 #include <string>
--- a/test/support/control_group.h
+++ b/test/support/control_group.h
@@ -1,5 +1,5 @@
-// Control servers of one cluster in one event loop, for tests. The servers
-// listen on loopback addresses that belong to this process.
+// Runs the control servers of one cluster in one event loop, for tests. The
+// servers listen on loopback addresses that belong to this process.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -31,7 +31,7 @@
   ControlGroup(const ControlGroup&) = delete;
   ControlGroup& operator=(const ControlGroup&) = delete;
 
-  // The server at `position`; null after Crash().
+  // Returns the server at `position`, or null after Crash().
   control::ControlServer* server(std::size_t position) {
     return servers_.at(position).get();
   }
@@ -44,9 +44,9 @@
   // @return the server's position; its node id is the position plus one.
   std::size_t StartUnjoined();
 
-  // The address for other control nodes and for daemons, "ip:port".
+  // Returns the address for other control nodes and for daemons, "ip:port".
   std::string Address(std::size_t position) const;
-  // The URL of `path` in the resource API.
+  // Returns the URL of `path` in the resource API.
   std::string Url(std::size_t position, const std::string& path) const;
   // Makes a daemon's session client that has the addresses of all servers.
   std::unique_ptr<session::ControlSessionClient> MakeClient(
@@ -57,7 +57,8 @@
                                const std::string& path,
                                const std::string& body = {},
                                const std::string& change_id = {});
-  // The body of a 200 answer, parsed; null for any other.
+  // Returns the parsed body of an answer with status 200; null for any other
+  // answer.
   nlohmann::json GetJson(std::size_t position, const std::string& path);
   // Polls the status of the server at `position` until that server can reach
   // the leader.
@@ -77,7 +78,8 @@
   std::unique_ptr<net::HttpClient> http_;
 };
 
-// JSON of a service with default settings, in the format of the resource API.
+// Returns the JSON of a service with default settings, in the format of the
+// resource API.
 std::string ServiceJson(const std::string& name, std::uint64_t version);
 
 }  // namespace juniperway::test
--- a/test/unit/control/discovery_page_test.cc
+++ b/test/unit/control/discovery_page_test.cc
@@ -1,5 +1,5 @@
-// The parser of discovery list pages: which entries become backends, and that a
-// faulty entry does not affect the others.
+// Tests the parser of discovery list pages: which entries become backends, and
+// that a faulty entry does not affect the others.
 #include "common/control/discovery_page.h"
 
 #include <doctest/doctest.h>
@@ -20,8 +20,8 @@
   return R"({"backends": [)" + entries + R"(], "next_page": null})";
 }
 
-// The valid entry with one field set to `value`, or without the field if
-// `value` is empty.
+// Returns the valid entry with one field set to `value`, or without the field
+// if `value` is empty.
 std::string EntryWith(const std::string& field, const std::string& value) {
   std::string entry = kValidEntry;
   const std::size_t begin = entry.find("\"" + field + "\"");
@@ -165,7 +165,7 @@
   CHECK(faults == EntryFaults{{EntryFault::kDuplicateId, 1}});
 }
 
-// The valid entry with a start time.
+// Returns the valid entry with a start time.
 std::string EntryWithStart(const std::string& value) {
   std::string entry = kValidEntry;
   entry.insert(entry.rfind('}'), R"(, "born": )" + value);
--- a/test/unit/control/peer_network_test.cc
+++ b/test/unit/control/peer_network_test.cc
@@ -1,6 +1,7 @@
-// Connections between control nodes. Guards against a network path that fails
-// without closing the TCP connection: the node must notice the missing answers,
-// connect again, and meanwhile send on the connection that works.
+// Tests the connections between control nodes. Guards against a network path
+// that fails without closing the TCP connection: the node must notice the
+// missing answers, connect again, and meanwhile send on the connection that
+// works.
 #include "common/control/peer_network.h"
 
 #include <doctest/doctest.h>
--- a/test/unit/control/rollout_api_test.cc
+++ b/test/unit/control/rollout_api_test.cc
@@ -1,4 +1,4 @@
-// The resource API's calls on rollouts.
+// Tests the resource API's calls on rollouts.
 #include <doctest/doctest.h>
 
 #include <nlohmann/json.hpp>
--- a/test/unit/control/route_table_test.cc
+++ b/test/unit/control/route_table_test.cc
@@ -1,4 +1,4 @@
-// The route table and the discovery list in the replicated state.
+// Tests the route table and the discovery list in the replicated state.
 #include <doctest/doctest.h>
 
 #include <string>
--- a/test/unit/control/store_restore_test.cc
+++ b/test/unit/control/store_restore_test.cc
@@ -1,6 +1,6 @@
-// A store restored from a backup holds the backup's resources. Guards against
-// using revisions, request ids or node ids again that the old group may have
-// used after the backup.
+// Tests that a store restored from a backup holds the backup's resources.
+// Guards against using revisions, request ids or node ids again that the old
+// group may have used after the backup.
 #include "common/control/store_restore.h"
 
 #include <doctest/doctest.h>
--- a/test/unit/routes/route_index_test.cc
+++ b/test/unit/routes/route_index_test.cc
@@ -1,5 +1,5 @@
-// The route index: a request gets the route of its host with the longest path
-// prefix.
+// Tests the route index: a request gets the route of its host with the longest
+// path prefix.
 #include "common/routes/route_index.h"
 
 #include <doctest/doctest.h>
--- a/test/unit/routes/route_table_test.cc
+++ b/test/unit/routes/route_table_test.cc
@@ -1,4 +1,4 @@
-// The parser of route tables: the fields that it reads, and that it refuses
+// Tests the parser of route tables: which fields it reads, and that it refuses
 // each fault with the path of the field.
 #include "common/routes/route_table.h"
 
--- a/test/unit/routes/tenant_index_test.cc
+++ b/test/unit/routes/tenant_index_test.cc
@@ -1,5 +1,5 @@
-// The tenant index and the tenants of a route table: which tenant a request
-// belongs to, and which lists of tenants the parser refuses.
+// Tests the tenant index and the tenants of a route table: which tenant a
+// request belongs to, and which lists of tenants the parser refuses.
 #include "common/routes/tenant_index.h"
 
 #include <doctest/doctest.h>
