--- a/source/common/control/api_server.h
+++ b/source/common/control/api_server.h
@@ -58,7 +58,7 @@
   // Answers watches whose deadline has passed. The owner calls this a few times
   // a second.
   void Tick(MonotonicTime now) { watches_.Tick(now); }
-  // Accepts no new connections; calls in flight may still be answered.
+  // Stops accepting connections. Calls in flight may still be answered.
   void StopAccepting() { server_.StopAccepting(); }
   void Close();
 
--- a/source/common/control/claim_store.cc
+++ b/source/common/control/claim_store.cc
@@ -21,8 +21,8 @@
     return {session::ClaimDecision::kGranted, std::nullopt};
   }
   if (expiry > entry.expiry) {
-    // A client that resends with a later expiry may retry until then, so the
-    // claim must be kept as long.
+    // A client that resends with a later expiry may retry until that expiry, so
+    // the store must keep the claim as long.
     entry.expiry = expiry;
     Schedule(claim);
   }
--- a/source/common/control/command_pipeline.h
+++ b/source/common/control/command_pipeline.h
@@ -1,6 +1,6 @@
 // Batches the leader's operations into log commands: operations that arrive in
 // one turn of the event loop become one command, and each callback gets its
-// results when the command is applied. No I/O apart from the callbacks.
+// results when the command is applied. Does no I/O apart from the callbacks.
 #pragma once
 
 #include <cstddef>
--- a/source/common/control/control_node.h
+++ b/source/common/control/control_node.h
@@ -32,9 +32,9 @@
 
 namespace juniperway::control {
 
-// One member of the control group: consensus, sessions of daemons and the
-// resource API. ControlServer owns the object; the object owns its components
-// and must not outlive `context`.
+// Runs one member of the control group: consensus, the sessions of daemons and
+// the resource API. ControlServer owns the object; the object owns its
+// components and must not outlive `context`.
 class ControlNode {
  public:
   // Loads the store and opens both listeners. Throws std::exception when an
@@ -130,8 +130,8 @@
   ControlServerOptions options_;
   ControlMetrics metrics_;
   MonotonicTime next_metrics_update_ = MonotonicTime::min();
-  // When this node last read every page of the discovery list;
-  // MonotonicTime::min(): never.
+  // Time at which this node last read every page of the discovery list;
+  // MonotonicTime::min() if it has not read the list yet.
   MonotonicTime discovery_list_read_at_ = MonotonicTime::min();
   std::uint64_t seed_;
   asio::steady_timer tick_timer_;
@@ -139,8 +139,8 @@
   bool flush_scheduled_ = false;
   bool advance_scheduled_ = false;
   bool closed_ = false;
-  // Set during a graceful shutdown. The node calls it when the shutdown is
-  // complete.
+  // Set during a graceful shutdown. The node calls this function when the
+  // shutdown is complete.
   std::function<void()> on_stopped_;
   MonotonicTime stop_deadline_;
 
--- a/source/common/control/control_node_peers.cc
+++ b/source/common/control/control_node_peers.cc
@@ -1,5 +1,5 @@
-// Messages between control nodes: consensus, forwarded calls and heartbeats,
-// watermarks and observations. See control_node.h.
+// Exchanges messages between control nodes: consensus, forwarded calls and
+// heartbeats, watermarks and observations. See control_node.h.
 #include <utility>
 
 #include "common/base/compression.h"
--- a/source/common/control/control_server.h
+++ b/source/common/control/control_server.h
@@ -35,32 +35,34 @@
   raft::NodeId node_id = raft::kNoNode;
   // Zone and region of this node; daemons prefer the nearest control node.
   Place place;
-  // Address of the resource API. Port 0: the kernel chooses one, see
-  // ControlServer::http_endpoint().
+  // Address of the resource API. If the port is 0, the kernel chooses a port;
+  // see ControlServer::http_endpoint().
   asio::ip::tcp::endpoint http_listen;
-  // Address for other control nodes and for daemon sessions. Port 0: the kernel
-  // chooses one, see ControlServer::peer_endpoint().
+  // Address for other control nodes and for daemon sessions. If the port is 0,
+  // the kernel chooses a port; see ControlServer::peer_endpoint().
   asio::ip::tcp::endpoint peer_listen;
   // Voters of a cluster that starts for the first time, including this node;
-  // every voter must get the same list. Empty: this node waits until the
-  // cluster adds it. Ignored when the store already holds state.
+  // every voter must get the same list. If the list is empty, this node waits
+  // until the cluster adds it. The list is ignored when the store already holds
+  // state.
   std::vector<raft::Member> initial_members;
-  // Content of the token file without surrounding white space. Empty: the API
-  // listens on the loopback interface only, at the port of `http_listen`,
-  // unless `open_api` is set.
+  // Content of the token file without surrounding white space. If the content
+  // is empty, the API listens on the loopback interface only, at the port of
+  // `http_listen`, unless `open_api` is set.
   std::string bearer_token;
   // URL of the platform list, such as "http://10.0.0.9:9000/v1/machines".
-  // Empty: the node polls no platform list.
+  // If the URL is empty, the node polls no platform list.
   std::string platform_url;
   Duration platform_poll_interval = seconds(2);
-  // URL of the discovery list of backends for HTTP forwarding. Empty: the node
-  // polls no discovery list.
+  // URL of the discovery list of backends for HTTP forwarding. If the URL is
+  // empty, the node polls no discovery list.
   std::string discovery_url;
   Duration discovery_interval = seconds(1);
   double discovery_calls_per_second = 50;
   // How far the fleet may exceed a tenant's rate limit.
   quota::RateTolerance tenant_tolerance;
-  // Bounds the requests that a faulty version receives during its rollout.
+  // Bounds the requests that a faulty version receives during the rollout of
+  // that version.
   rollout::ExposureLimit rollout_exposure;
   // Serves the resource API on `http_listen` without authentication when
   // `bearer_token` is empty.
@@ -103,14 +105,14 @@
   // Approximate size in bytes of the frames that carry a snapshot to another
   // control node.
   std::size_t snapshot_part_bytes = 4U << 20;
-  // Seed of the random delays, such as election jitter; 0: the system's random
-  // device provides the seed.
+  // Seed of the random delays, such as election jitter. If the value is 0, the
+  // system's random device provides the seed.
   std::uint64_t seed = 0;
   // Registry for this node's metrics; must not be null.
   std::shared_ptr<prometheus::Registry> registry =
       std::make_shared<prometheus::Registry>();
-  // Called when the store failed and the node has left consensus. Default: the
-  // process logs the error and exits.
+  // The server calls this when the store failed and the node has left
+  // consensus. By default, the process logs the error and exits.
   std::function<void(const Error&)> on_store_failure;
 };
 
--- a/source/common/control/control_state.h
+++ b/source/common/control/control_state.h
@@ -1,9 +1,9 @@
 // The replicated state machine of the control group: resources, membership,
 // backend reports, serving index versions, claims, change ids, crash records
-// and rollouts. Each control node owns one. It does no I/O and is
-// deterministic: all nodes that apply the same commands have the same state.
-// The time is the leader's wall time in each command; the state ignores steps
-// back.
+// and rollouts. Each control node owns one state machine. The state machine
+// does no I/O and is deterministic: all nodes that apply the same commands have
+// the same state. The time is the leader's wall time in each command; the state
+// ignores steps back.
 #pragma once
 
 #include <optional>
--- a/source/common/control/crash_attribution.cc
+++ b/source/common/control/crash_attribution.cc
@@ -25,7 +25,8 @@
 bool IsListed(
     const std::map<std::string, session::DiscoveredBackend>& discovered,
     const std::string& incarnation) {
-  // The id ends at the last "@", if any; the id itself may contain one.
+  // The id ends at the last "@" if there is one; the id itself may also contain
+  // an "@".
   const std::string id = incarnation.substr(0, incarnation.rfind('@'));
   const auto is_same_incarnation = [&](const std::string& name) {
     const auto entry = discovered.find(name);
--- a/source/common/control/crash_attribution.h
+++ b/source/common/control/crash_attribution.h
@@ -4,7 +4,8 @@
 // A crash ends all requests that the backend runs, so innocent requests lose
 // attempts too, but only on backends that also ran the crashing request. The
 // request under which the most backends crashed therefore explains all these
-// crashes. Another request is found only if enough other crashes remain.
+// crashes. Crashes are attributed to another request only if enough other
+// crashes remain.
 #pragma once
 
 #include <cstddef>
@@ -21,9 +22,9 @@
 namespace juniperway::control {
 
 // Minimum number of backends that crashed under a request, and whose crashes no
-// other request explains, before they are attributed to the request. One or two
-// may be a coincidence; after the third crash hardly any further attempt is
-// acceptable.
+// other request explains, for the crashes to be attributed to the request. One
+// or two crashes may be a coincidence; after the third crash hardly any further
+// attempt is acceptable.
 inline constexpr std::size_t kMinimumUnexplainedBackends = 3;
 
 // Whether this incarnation of a backend (session::IncarnationName) is still on
@@ -33,7 +34,8 @@
     const std::map<std::string, session::DiscoveredBackend>& discovered,
     const std::string& incarnation);
 
-// Requests that crashes are attributed to and that are not quarantined yet.
+// Returns the requests that crashes are attributed to and that are not
+// quarantined yet.
 std::vector<RequestFingerprint> AttributeCrashes(const CrashRecords& records);
 
 // Decides from the replicated crash records which requests to quarantine and
--- a/source/common/control/crash_record.h
+++ b/source/common/control/crash_record.h
@@ -17,9 +17,11 @@
   // Incarnation names (session::IncarnationName) of backends that crashed while
   // they ran the request, at most kMaximumEndedBackends.
   std::set<std::string> ended_backends;
-  // Crashes are attributed to the request; routers refuse it.
+  // Whether crashes are attributed to the request. If so, routers refuse the
+  // request.
   bool quarantined = false;
-  // Times of the first and of the latest report, by the leaders' clocks.
+  // Times of the first and of the latest report: the wall time of the state,
+  // which comes from the leader's clock, when the state applied the report.
   WallTime since{};
   WallTime latest{};
 };
--- a/source/common/control/discovery_poller.cc
+++ b/source/common/control/discovery_poller.cc
@@ -9,8 +9,8 @@
 namespace {
 
 constexpr Duration kCallTimeout = seconds(1);
-// Interval at which a node that is not the leader checks whether it has become
-// the leader.
+// Interval at which a node that does not lead checks whether it has become the
+// leader.
 constexpr Duration kIdleInterval = milliseconds(100);
 constexpr Duration kRetryDelay = milliseconds(300);
 constexpr int kStatusOk = 200;
--- a/source/common/control/join_client.h
+++ b/source/common/control/join_client.h
@@ -41,8 +41,8 @@
   net::HttpClient client_;
   std::vector<std::string> seeds_;
   std::size_t next_seed_ = 0;
-  // When this node was last a member that knows a leader; at first, when the
-  // client was created.
+  // Time at which this node was last a member that knows a leader; initially
+  // the time at which the client was created.
   MonotonicTime last_leader_seen_;
   MonotonicTime next_request_ = MonotonicTime::min();
   bool request_in_flight_ = false;
--- a/source/common/control/leader_role.cc
+++ b/source/common/control/leader_role.cc
@@ -263,7 +263,7 @@
           }
           if (!result) {
             // The lease table returns each removal only once, so the leader
-            // keeps it for the next Tick.
+            // keeps the removal for the next Tick.
             removals_.push_back(daemon);
             return;
           }
@@ -464,7 +464,7 @@
            if (!*alive) {
              return;
            }
-           // After a failure, the next discovery list is proposed.
+           // After a failure, the leader proposes the next discovery list.
            discovery_update_in_flight_ = false;
            if (result) {
              logging::LogEvent(kDiscoveryChanged, {{"changed", changed},
@@ -503,7 +503,7 @@
            if (!*alive) {
              return;
            }
-           // After a failure, the next platform list is proposed.
+           // After a failure, the leader proposes the next platform list.
            platform_update_in_flight_ = false;
            if (result) {
              logging::LogEvent(kPlatformListChanged, {{"leaving", count}});
--- a/source/common/control/lease_table.h
+++ b/source/common/control/lease_table.h
@@ -2,7 +2,7 @@
 // revisions that each daemon confirmed. LeaderRole owns it. The table does no
 // I/O, takes the time as an argument, and is not replicated: a new leader does
 // not know which leases the previous leader granted, so it assumes that every
-// member holds one for a full lease duration.
+// member holds a lease for a full lease duration.
 //
 // Expiry: the daemon counts a lease from the time it sent the heartbeat. The
 // table counts it from the arrival of the heartbeat and adds the maximum clock
@@ -17,8 +17,8 @@
 // consensus module.
 //
 // While no daemon holds a lease, a watermark could follow the newest revision
-// at once. It stays one lease duration behind instead, so that daemons that
-// join during many changes can reach it.
+// at once. The watermark stays one lease duration behind instead, so that
+// daemons that join during many changes can reach it.
 #pragma once
 
 #include <cstdint>
@@ -82,7 +82,8 @@
 };
 
 // Shares (0 to 1) of the daemons with a lease that have confirmed a revision,
-// and that have released what they may no longer use at that revision.
+// and that have released everything that they may no longer use at that
+// revision.
 struct RevisionShares {
   double confirmed = 0;
   double released = 0;
@@ -93,7 +94,7 @@
   struct Options {
     Duration lease = seconds(4);
     double maximum_clock_drift = 0.01;
-    // A member is removed when it has been without a lease for this long.
+    // The leader removes a member that has been without a lease for this long.
     Duration removal_delay = seconds(2);
   };
 
@@ -129,8 +130,8 @@
   void Advance(resources::Revision revision, MonotonicTime now);
 
   // Returns members to be removed from the replicated membership. Each member
-  // is returned once; from then on it gets no lease until it has been removed
-  // and has joined again.
+  // is returned once; from then on the member gets no lease until it has been
+  // removed and has joined again.
   std::vector<DaemonKey> TakeRemovals(MonotonicTime now);
 
   resources::Revision in_force() const { return in_force_; }
@@ -163,7 +164,7 @@
     std::uint64_t incarnation = 0;
     std::string zone;
     bool gateway = false;
-    // Start of the time without a lease; not used while the member has one.
+    // Start of the time without a lease; not used while the member has a lease.
     // MonotonicTime::min() when the daemon released its lease.
     MonotonicTime unleased_since;
     bool removal_pending = false;
--- a/source/common/control/member_repair.cc
+++ b/source/common/control/member_repair.cc
@@ -10,8 +10,8 @@
   return progress.active && progress.caught_up && !progress.regressed;
 }
 
-// Whether another member is active at this member's address: the control node
-// has restarted without its data, under a new id.
+// Whether another member is active at this member's address, which means that
+// the control node has restarted without its data, under a new id.
 bool IsSuperseded(const raft::Status& status, const raft::Progress& progress) {
   return !progress.active &&
          std::ranges::any_of(
--- a/source/common/control/member_repair.h
+++ b/source/common/control/member_repair.h
@@ -30,16 +30,16 @@
   struct Options {
     // Target number of voters: 2 x tolerated losses + 1.
     std::size_t wanted_voters = 3;
-    // A voter that has been inactive for this long is replaced when a learner
-    // is ready.
+    // The leader replaces a voter that has been inactive for this long when a
+    // learner is ready.
     Duration voter_replacement_delay = seconds(1);
-    // A learner that has been inactive for this long is removed.
+    // The leader removes a learner that has been inactive for this long.
     Duration learner_removal_delay = seconds(20);
   };
 
   explicit MemberRepair(const Options& options) : options_(options) {}
 
-  // @param status of this node, which leads.
+  // @param status consensus status of this node, which must be the leader.
   // @return the next change; nothing when no member has to be replaced or no
   //   learner is ready.
   std::optional<MemberStep> Next(const raft::Status& status, MonotonicTime now);
--- a/source/common/control/operation_applier.cc
+++ b/source/common/control/operation_applier.cc
@@ -398,8 +398,8 @@
     const protocol::PutRouteTableT& operation) {
   StoredRouteTable& stored = state_.fleet_.route_table;
   // Operators may write concurrently, and a resent table may arrive after a
-  // newer one. The highest version is kept; of two tables with the same version
-  // the first one.
+  // newer one. The state keeps the table with the highest version; of two
+  // tables with the same version, it keeps the first.
   if (operation.route_table->version <= stored.version) {
     return Done();
   }
@@ -434,8 +434,8 @@
 
 OperationApplier::Outcome OperationApplier::Apply(
     const protocol::SetZoneEvacuationT& operation) {
-  // Control nodes may send a call to each other twice, and the second copy may
-  // arrive after a later order has reversed the first.
+  // A control node may send a call to another control node twice, and the
+  // second copy may arrive after a later order has reversed the first.
   if (auto first = FindFirstOutcome(operation.change_id, operation.digest)) {
     return std::move(*first);
   }
--- a/source/common/control/peer_network.h
+++ b/source/common/control/peer_network.h
@@ -36,7 +36,7 @@
   };
 
   // @param seed of the random delays between connection attempts.
-  // @param on_frame called for each frame from another node.
+  // @param on_frame handles each frame from another node.
   PeerNetwork(asio::io_context& context, Identity identity, std::uint64_t seed,
               FrameHandler on_frame);
 
@@ -51,8 +51,8 @@
   void OnFrame(raft::NodeId from, net::FrameBytes bytes,
                const std::shared_ptr<net::FrameConnection>& connection);
 
-  // Sends a message that `to` answers. When `to` sends nothing within the
-  // timeout, Tick() closes its connections and connects again.
+  // Sends a message that node `to` answers. When that node sends nothing within
+  // the timeout, Tick() closes its connections and connects again.
   // @return false when no usable connection to that node is open.
   template <typename Message>
   bool Send(raft::NodeId to, Message message) {
@@ -81,7 +81,7 @@
 
   struct Path {
     Connection connection;
-    // When the connection was opened, or last received a frame.
+    // Time at which the connection was opened or last received a frame.
     MonotonicTime last_received = MonotonicTime::min();
   };
 
--- a/source/common/control/platform_poller.h
+++ b/source/common/control/platform_poller.h
@@ -28,7 +28,7 @@
 // @return kInvalidArgument if any entry is invalid.
 Result<PlatformList> ParsePlatformList(std::string_view text);
 
-// Returns the names that are leaving after a poll: those that the list calls
+// Returns the names that are leaving after a poll: those that the list marks as
 // leaving, and those of `previously_leaving`, the names that were leaving
 // before the poll, that are no longer on the list but still in use.
 std::set<std::string> MergeLeavingNames(
--- a/source/common/control/raft_driver.h
+++ b/source/common/control/raft_driver.h
@@ -42,17 +42,18 @@
     // Sends each message to the member that the message names as its receiver.
     // Messages may be lost.
     std::function<void(std::vector<raft::Message>)> send;
-    // Called once for each committed entry, in log order.
+    // Applies a committed entry. The driver calls this once for each entry, in
+    // log order.
     std::function<void(const raft::Entry&)> apply;
     // Replaces the state with a snapshot from the leader.
     std::function<void(const raft::Snapshot&)> install;
     // Encodes the current state for a snapshot.
     std::function<std::string()> encode_state;
-    // Called when role, term, leader, commit index or configuration may have
-    // changed.
+    // The driver calls this when role, term, leader, commit index or
+    // configuration may have changed.
     std::function<void()> on_change;
-    // Called when the store failed or has lost its data; the driver has stopped
-    // and cannot be restarted.
+    // The driver calls this when the store failed or has lost its data. The
+    // driver has then stopped and cannot be restarted.
     std::function<void(const Error&)> on_failure;
   };
 
--- a/source/common/control/rate_pool.h
+++ b/source/common/control/rate_pool.h
@@ -19,8 +19,9 @@
 
 namespace juniperway::control {
 
-// Name under which a control node's pool reports to the leader. It contains a
-// slash, which names of daemons do not, so no daemon has the same name.
+// Name under which a control node's pool reports to the leader. The name
+// contains a slash, and names of daemons contain none, so no daemon has the
+// same name.
 std::string PoolName(raft::NodeId node);
 
 // Serves routers from rates that the leader leased to this control node.
--- a/source/common/control/resource_api.h
+++ b/source/common/control/resource_api.h
@@ -30,7 +30,7 @@
     std::function<raft::Status()> raft_status;
     // Returns whether this node is the leader and its reads are linearizable.
     std::function<bool()> is_leading;
-    // Replicates operations and passes on their results.
+    // Replicates operations and passes their results to the callback.
     std::function<void(Operations, CommandPipeline::Callback)> submit;
     // Start a change of the consensus group's membership.
     std::function<Result<void>(const raft::Member&)> add_member;
--- a/source/common/control/revision_log.h
+++ b/source/common/control/revision_log.h
@@ -17,10 +17,11 @@
 
 namespace juniperway::control {
 
-// When the log contains more items, it drops its oldest revisions.
+// Maximum number of items in the log. When the log contains more, it drops its
+// oldest revisions.
 inline constexpr std::size_t kMaximumLoggedItems = 65536;
 
-// Identifies a part of the state that daemons see.
+// Identifies an item of the state that daemons see.
 struct FleetItem {
   enum class Kind {
     kResource,
@@ -34,14 +35,15 @@
     kRollout
   };
   Kind kind = Kind::kResource;
-  // kResource only.
+  // Used for kResource only.
   resources::Kind resource_kind = resources::Kind::kService;
   // Name of the resource, daemon, backend, service (also for kServing and
   // kRollout) or zone; id of a discovered backend.
   std::string name;
-  // kCrashingRequest only.
+  // Used for kCrashingRequest only.
   RequestFingerprint request{};
-  // Index snapshots only: daemons identify them by service and version.
+  // Used for index snapshots only, which daemons identify by service and
+  // version.
   std::string service;
   resources::IndexVersion index_version = 0;
 
--- a/source/common/control/session_server.cc
+++ b/source/common/control/session_server.cc
@@ -18,18 +18,19 @@
 // it with "no leader", so that the daemon knows that this node is alive and
 // only the leader does not answer.
 constexpr Duration kLeaderAnswerTimeout = milliseconds(600);
-// A session on which no frame arrives for this long is closed.
+// This node closes a session on which no frame arrives for this long.
 constexpr Duration kUnresponsiveSessionTimeout = seconds(15);
 
 // Delay of the first update to a daemon that has no state yet and could connect
 // to a nearer control node. It lasts ten one-way trips between regions and a
-// connection set-up, in which the daemon moves there. Without the delay, two of
-// three daemons of a fleet in three regions would first load the whole state
-// (1 MB with ten thousand backends) from another region.
+// connection set-up, in which the daemon connects to the nearer node. Without
+// the delay, two of three daemons of a fleet in three regions would first load
+// the whole state (1 MB with ten thousand backends) from another region.
 constexpr Duration kNearerNodeDelay = milliseconds(500);
-// Changes of the control nodes within this time are announced together.
-// Otherwise 24 control nodes that start at the same moment would cause 48
-// announcements of up to 2.4 KB to each of a thousand daemons, 60 MB in total.
+// One announcement carries all changes of the control nodes within this time.
+// Without this delay, 24 control nodes that start at the same moment would
+// cause 48 announcements of up to 2.4 KB to each of a thousand daemons, 60 MB
+// in total.
 constexpr Duration kAnnouncementDelay = milliseconds(200);
 
 // Whether a daemon may submit operations of this type through its session.
--- a/source/common/control/session_server.h
+++ b/source/common/control/session_server.h
@@ -24,12 +24,12 @@
 namespace juniperway::control {
 
 // Heartbeats of daemons as a control node forwards them to the leader, and the
-// leader's replies to them.
+// leader's answers to them.
 using Heartbeats = std::vector<std::unique_ptr<protocol::MemberHeartbeatT>>;
 using HeartbeatReplies =
     std::vector<std::unique_ptr<protocol::MemberHeartbeatReplyT>>;
 
-// Limits how often a control node sends updates to daemons.
+// Bounds how often a control node sends updates to daemons.
 struct UpdateTiming {
   // Delay after a change, so that one update carries several changes.
   Duration delay;
@@ -52,7 +52,8 @@
     // Receives the observations of backends that a daemon reports.
     std::function<void(const observation::BackendObservations&)>
         on_observations;
-    // Forwards operations to the leader and passes on their results.
+    // Forwards operations to the leader and passes their results to the
+    // callback.
     std::function<void(Operations, CommandPipeline::Callback)> submit;
   };
 
@@ -104,7 +105,7 @@
     // update is in flight and this node sends no other, so that a slow daemon
     // gets fewer, larger updates.
     resources::Revision confirmed_revision = 0;
-    // The daemon ignores updates to revisions below this.
+    // The daemon ignores updates to revisions below this one.
     resources::Revision minimum_revision = 0;
     // Earliest time of the next update.
     MonotonicTime next_update = MonotonicTime::min();
@@ -151,7 +152,7 @@
   UpdateTiming pace_;
   Ports ports_;
   asio::steady_timer update_timer_;
-  // When the timer fires; nothing if it is not armed.
+  // Time at which update_timer_ fires; std::nullopt if the timer is not armed.
   std::optional<MonotonicTime> update_due_;
   asio::steady_timer announcement_timer_;
   bool announcement_scheduled_ = false;
--- a/source/common/control/snapshot_parts.h
+++ b/source/common/control/snapshot_parts.h
@@ -1,5 +1,5 @@
 // Splits a snapshot into parts for transfer between control nodes, and
-// assembles the parts at the receiver. No I/O.
+// assembles the parts at the receiver. Does no I/O.
 #pragma once
 
 #include <cstddef>
--- a/source/common/control/store_restore.h
+++ b/source/common/control/store_restore.h
@@ -31,7 +31,8 @@
   std::filesystem::path backup;
   // The daemon's data folder; it must not hold a consensus store yet.
   std::filesystem::path data_folder;
-  // Cluster of the restored store. Empty: the cluster of the backup.
+  // Cluster of the restored store. If empty, the store gets the cluster of the
+  // backup.
   std::string cluster;
   // The only voter of the restored store, with a node id that the backup does
   // not contain. Other members join it as learners, with empty data folders.
--- a/source/common/control/tenant_quotas.cc
+++ b/source/common/control/tenant_quotas.cc
@@ -68,8 +68,9 @@
       text ? routes::ParseRouteTable(*text)
            : Result<routes::RouteTable>(tl::unexpected(text.error()));
   if (!parsed) {
-    // The API checks a table before it is stored. A table that does not parse
-    // here was written by a newer version of the software.
+    // The resource API checks each table before the state stores the table. A
+    // table that does not parse here was written by a newer version of the
+    // software.
     logging::LogEvent(
         kTenantLimitsUnreadable,
         {{"version", table.version}, {"error", FormatError(parsed.error())}});
--- a/source/common/routes/home_regions.h
+++ b/source/common/routes/home_regions.h
@@ -11,7 +11,7 @@
 
 namespace juniperway::routes {
 
-// Each Route and Tenant owns one.
+// Each Route and Tenant owns one set.
 class HomeRegions {
  public:
   // Allows every region.
--- a/source/common/routes/route_index.cc
+++ b/source/common/routes/route_index.cc
@@ -34,7 +34,7 @@
     return nullptr;
   }
   // Tries the path's prefixes from the longest. Prefixes of routes end with a
-  // slash, so only prefixes of the path that end with one can match.
+  // slash, so only prefixes of the path that end with a slash can match.
   for (std::size_t end = path.rfind('/'); end != std::string_view::npos;
        end = end == 0 ? std::string_view::npos : path.rfind('/', end - 1)) {
     const auto found = routes->second.find(path.substr(0, end + 1));
--- a/source/common/routes/route_table.h
+++ b/source/common/routes/route_table.h
@@ -100,13 +100,15 @@
   std::string name;
   // No two tenants share a key.
   std::vector<std::string> api_keys;
-  // Replaces the route's priority; 0 is the highest.
+  // Priority of the tenant's requests, which replaces the route's priority; 0
+  // is the highest.
   std::uint32_t priority = 0;
   // Rate limit over the whole fleet, in requests per second; 0 means no limit.
   double requests_per_second = 0;
   // Number of requests above the rate that may arrive at once.
   double burst = 0;
-  // Limits the tenant's requests in addition to the route's home regions.
+  // Regions whose backends may get the tenant's requests. The route's home
+  // regions limit the backends as well.
   HomeRegions home_regions;
 
   bool operator==(const Tenant&) const = default;
--- a/source/common/routes/tenant_index.h
+++ b/source/common/routes/tenant_index.h
@@ -20,7 +20,7 @@
 inline constexpr std::string_view kCredentialsHeader = "authorization";
 
 // Returns the API key of a request, which must have exactly one credentials
-// header of the form "Bearer KEY"; the case of the scheme is ignored.
+// header of the form "Bearer KEY"; the function ignores the case of the scheme.
 // @return nothing if the header is missing, repeated or malformed.
 std::optional<std::string_view> ApiKeyOf(const HeaderFields& fields);
 
--- a/test/integration/control/control_server_test.cc
+++ b/test/integration/control/control_server_test.cc
@@ -112,8 +112,8 @@
     return true;
   };
   REQUIRE(RunUntil(context, all_in_own_zone));
-  // The daemon connects to another control node when its own crashes, and
-  // returns after the restart.
+  // The daemon connects to another control node when the control node in its
+  // own zone crashes, and returns after the restart.
   group.Crash(1);
   REQUIRE(RunUntil(context, [&] {
     return !clients[1]->ControlAddress().empty() &&
--- a/test/unit/control/crash_attribution_test.cc
+++ b/test/unit/control/crash_attribution_test.cc
@@ -114,7 +114,7 @@
                  kMinimumUnexplainedBackends;
         });
   }
-  // Attribution by the number of crashed backends alone, for comparison.
+  // For comparison, attributes crashes by the number of crashed backends alone.
   MESSAGE("attributed by count: ", attributed_by_count, " requests in ", kSeeds,
           " waves of ", kOthers + 1);
   CHECK(attributed_by_count >
@@ -133,8 +133,9 @@
 }
 
 TEST_CASE("a later incarnation of a backend does not count as the listed one") {
-  // Otherwise a request that crashes one backend three times would be released
-  // while the restarted backend is on the list.
+  // If the later incarnation counted as the listed one, a request that crashes
+  // one backend three times would be released while the restarted backend is on
+  // the list.
   std::map<std::string, session::DiscoveredBackend> discovered;
   session::DiscoveredBackend& backend = discovered["i-1"];
   backend.id = "i-1";
--- a/test/unit/control/rollout_test.cc
+++ b/test/unit/control/rollout_test.cc
@@ -148,7 +148,8 @@
   const auto other = Order(state, "c3", "v3");
   REQUIRE(other.error);
   CHECK(other.error->code == static_cast<std::uint8_t>(ErrorCode::kConflict));
-  // The same holds after the rollout has ended, while a resend may arrive.
+  // A resent order also has no effect after the rollout has ended, while a
+  // resend may still arrive.
   Advance(state, RolloutState::kRolledBack, RolloutPhase::kObserving, 0);
   CHECK_FALSE(Order(state, "c4", "v2", 20).error);
   CHECK(state.fleet().rollouts.at("s").state == RolloutState::kRolledBack);
