--- a/source/common/forwarding/request_run.h
+++ b/source/common/forwarding/request_run.h
@@ -145,9 +145,9 @@
   // margin, half of the answers with 90 parts miss a target of 120 ms by at
   // least 0.5 ms.
   Duration part_margin = microseconds(60);
-  // An attempt is hedged after this quantile of the route's latencies. On days
-  // with faults, 0.95 with a minimum_hedge_delay_share of 0.25 gives a mean
-  // worth of 0.583; 0.99 with 0.5 gives only 0.566.
+  // An attempt that is slower than this quantile of the route's latencies is
+  // hedged. A higher quantile, such as 0.99, starts hedges too late to answer
+  // before the target when backends are slow.
   double hedge_quantile = 0.95;
   // The hedge delay also has an upper bound that leaves the hedge time to be
   // answered within the target. The bound lies between these two shares of the
