--- a/source/common/forwarding/router_server.cc
+++ b/source/common/forwarding/router_server.cc
@@ -233,7 +233,7 @@
     explicit RouteHistory(std::uint64_t seed) : throttle(seed) {}
 
     std::shared_ptr<RouteLatency> latency = std::make_shared<RouteLatency>();
-    ClientTimeoutEstimator usual_deadline;
+    ClientTimeoutEstimator client_timeouts;
     AdaptiveThrottle throttle;
   };
 
@@ -371,7 +371,7 @@
     const Duration allowed = deadline.value_or(request.route->timeout);
     request.deadline = arrived + std::min(allowed, request.route->timeout);
     request.elapsed_before =
-        history.usual_deadline.EstimateElapsed(allowed, now) + (now - arrived);
+        history.client_timeouts.EstimateElapsed(allowed, now) + (now - arrived);
   }
 
   // --- Limits of tenants -----------------------------------------------------
